--- a/hawthornroad/agent/AgentDigests.cpp
+++ b/hawthornroad/agent/AgentDigests.cpp
@@ -6,13 +6,13 @@
 namespace hawthornroad {
 
 namespace {
-// Failures of the origin in a row after which its address may have changed.
-constexpr unsigned OriginFailuresBeforeLook = 4;
-// In frames, the index that means the digests themselves.
+// Consecutive failures of the origin after which its address may have changed.
+constexpr unsigned OriginFailuresBeforeRelist = 4;
+// Chunk index that stands for the manifest in frames.
 constexpr std::uint32_t ManifestIndex = 0xffffffff;
-// Connections whose question for digests is kept until they are here: more than
-// the children and the other zones' first VMs that weights/DigestTree sends.
-constexpr std::size_t MostManifestWaits = 256;
+// Most connections that wait for the digests: more than the children and the
+// first VMs of the other zones that weights/DigestTree sends here.
+constexpr std::size_t MaxManifestWaiters = 256;
 } // namespace
 
 std::vector<SwarmPeer> StoreAgent::State::swarmPeers() const {
@@ -22,26 +22,27 @@
   return Out;
 }
 
-void StoreAgent::State::fetch(const std::shared_ptr<Pursuit> &P,
+void StoreAgent::State::fetch(const std::shared_ptr<VersionUpdate> &P,
                               TimePoint Now) {
   if (!P->Transfer_)
-    seekDigests(P, Now);
+    fetchDigests(P, Now);
 }
 
-// Digests of a version that this VM has loaded, for one that asks.
-void StoreAgent::State::seekForOthers(TimePoint Now) {
-  if (!Current_ || !Duty_.isDone() || Current_->ManifestWaits_.empty())
+// Fetches the digests of the loaded version for peers that ask for them.
+void StoreAgent::State::fetchDigestsForPeers(TimePoint Now) {
+  if (!Current_ || !Updater_.isDone() || Current_->ManifestWaiters_.empty())
     return;
-  // An agent that started beside a loaded engine has not needed them before.
+  // An agent that started beside a loaded engine has not needed the peers
+  // before.
   if (PeersAt_ == TimePoint())
     listPeers(Now);
-  seekDigests(Current_, Now);
+  fetchDigests(Current_, Now);
 }
 
-void StoreAgent::State::seekDigests(const std::shared_ptr<Pursuit> &P,
-                                    TimePoint Now) {
-  if (P->ManifestUnderWay_ || !Origin_ || PeersAt_ == TimePoint() ||
-      PeersUnderWay_)
+void StoreAgent::State::fetchDigests(const std::shared_ptr<VersionUpdate> &P,
+                                     TimePoint Now) {
+  if (P->ManifestPending_ || !Origin_ || PeersAt_ == TimePoint() ||
+      PeersPending_)
     return;
   if (!P->Tree_) {
     DigestTree::Setup S;
@@ -56,16 +57,16 @@
   if (Step.Kind_ == DigestStep::Kind::Read)
     readManifest(P);
   else if (Step.Kind_ == DigestStep::Kind::Ask)
-    askForManifest(*P, Step.To_);
+    requestManifest(*P, Step.To_);
 }
 
-void StoreAgent::State::readManifest(const std::shared_ptr<Pursuit> &P) {
-  P->ManifestUnderWay_ = true;
-  Origin_->call(platform::manifestCall(P->Version_), ManifestLimit,
+void StoreAgent::State::readManifest(const std::shared_ptr<VersionUpdate> &P) {
+  P->ManifestPending_ = true;
+  Origin_->call(platform::manifestCall(P->Version_), ManifestTimeout,
                 [this, P](const HttpCalls::Result &R) { onManifest(P, R); });
 }
 
-void StoreAgent::State::askForManifest(const Pursuit &P, const Vm &To) {
+void StoreAgent::State::requestManifest(const VersionUpdate &P, const Vm &To) {
   auto Found =
       std::find_if(Peers_.begin(), Peers_.end(),
                    [&](const PiecePeer &Each) { return Each.Peer_.Vm_ == To; });
@@ -78,9 +79,9 @@
   Net_->send(Found->Address_, Lane::Weights, makeFrame(Request));
 }
 
-void StoreAgent::State::onManifest(const std::shared_ptr<Pursuit> &P,
+void StoreAgent::State::onManifest(const std::shared_ptr<VersionUpdate> &P,
                                    const HttpCalls::Result &R) {
-  P->ManifestUnderWay_ = false;
+  P->ManifestPending_ = false;
   const auto *Answer = std::get_if<HttpAnswer>(&R);
   constexpr unsigned Ok = 200;
   if (Answer == nullptr || Answer->Status_ != Ok) {
@@ -93,17 +94,17 @@
     Log_.write(L);
     if (P->Tree_)
       P->Tree_->onReadFailed(bootNow());
-    if (++OriginFailures_ % OriginFailuresBeforeLook == 0) {
+    if (++OriginFailures_ % OriginFailuresBeforeRelist == 0) {
       MustListOperators_ = true;
       OperatorNotBefore_ = TimePoint();
     }
     return;
   }
-  Pieces_.OriginBytes_ += Answer->Body_.size();
+  PieceCounters_.OriginBytes_ += Answer->Body_.size();
   takeManifest(P, Answer->Body_);
 }
 
-void StoreAgent::State::takeManifest(const std::shared_ptr<Pursuit> &P,
+void StoreAgent::State::takeManifest(const std::shared_ptr<VersionUpdate> &P,
                                      const std::string &Text) {
   if (P != Current_ && P != Next_)
     return;
@@ -116,53 +117,54 @@
     return;
   }
   P->Manifest_ = Text;
-  answerManifestWaits(*P);
+  answerManifestWaiters(*P);
   if (P->Transfer_)
     return P->Transfer_->setDigests(Digests->Digests_);
-  bool IsLoaded = P == Current_ && Duty_.isDone();
-  if (P->ManifestUnderWay_ || IsLoaded)
+  bool IsLoaded = P == Current_ && Updater_.isDone();
+  if (P->ManifestPending_ || IsLoaded)
     return;
-  P->ManifestUnderWay_ = true;
-  lookAtStaged(P, *Digests);
+  P->ManifestPending_ = true;
+  checkStaged(P, *Digests);
 }
 
-void StoreAgent::State::answerManifestWaits(Pursuit &P) {
+void StoreAgent::State::answerManifestWaiters(VersionUpdate &P) {
   wire::ChunkReplyT Reply;
   Reply.manifest = PieceTransfer::frameName(P.Version_);
   Reply.index = ManifestIndex;
   Reply.bytes.assign(P.Manifest_.begin(), P.Manifest_.end());
   FrameBuffer Frame = makeFrame(std::move(Reply));
-  for (ConnectionId To : std::exchange(P.ManifestWaits_, {}))
+  for (ConnectionId To : std::exchange(P.ManifestWaiters_, {}))
     Net_->reply(To, Frame);
 }
 
-std::shared_ptr<StoreAgent::State::Pursuit>
-StoreAgent::State::pursuitOf(const std::string &FrameName) const {
+std::shared_ptr<StoreAgent::State::VersionUpdate>
+StoreAgent::State::findUpdate(const std::string &FrameName) const {
   for (const auto &P : {Current_, Next_})
     if (P && PieceTransfer::frameName(P->Version_) == FrameName)
       return P;
   return nullptr;
 }
 
-// An agent that asks has heard of a version before this one has.
-void StoreAgent::State::learnFromAsker(const std::string &FrameName) {
+// A request for an unknown version's digests shows that the version was
+// published.
+void StoreAgent::State::learnVersionFrom(const std::string &FrameName) {
   auto V = PieceTransfer::versionOf(FrameName);
-  if (V && !pursuitOf(FrameName))
-    onNamed(*V);
+  if (V && !findUpdate(FrameName))
+    onVersionHeard(*V);
 }
 
-void StoreAgent::State::onManifestAsk(const PeerContext &From,
-                                      const std::string &FrameName) {
-  learnFromAsker(FrameName);
-  auto P = pursuitOf(FrameName);
-  bool IsRoom = P && P->ManifestWaits_.size() < MostManifestWaits;
-  if (IsRoom) {
-    P->ManifestWaits_.push_back(From.Connection_);
+void StoreAgent::State::onManifestRequest(const PeerContext &From,
+                                          const std::string &FrameName) {
+  learnVersionFrom(FrameName);
+  auto P = findUpdate(FrameName);
+  bool HasRoom = P && P->ManifestWaiters_.size() < MaxManifestWaiters;
+  if (HasRoom) {
+    P->ManifestWaiters_.push_back(From.Connection_);
     if (!P->Manifest_.empty())
-      answerManifestWaits(*P);
+      answerManifestWaiters(*P);
     return;
   }
-  // An older version than this agent brings about, or of another model.
+  // An older version than this agent wants, or one of another model.
   wire::ChunkReplyT Out;
   Out.manifest = FrameName;
   Out.index = ManifestIndex;
@@ -171,7 +173,7 @@
 }
 
 void StoreAgent::State::onManifestReply(const wire::ChunkReplyT &Reply) {
-  auto P = pursuitOf(Reply.manifest);
+  auto P = findUpdate(Reply.manifest);
   if (!P || !P->Manifest_.empty())
     return;
   if (Reply.error.empty())
@@ -180,13 +182,13 @@
     P->Tree_->onMissing(bootNow());
 }
 
-// Whether the frame was about a version's digests.
+// Handles frames about a version's digests; returns whether this was one.
 bool StoreAgent::State::onManifestFrame(const PeerContext &From,
                                         const wire::FrameT &Frame) {
   const auto *Request = Frame.body.AsChunkRequest();
   const auto *Reply = Frame.body.AsChunkReply();
   if (Request != nullptr && Request->index == ManifestIndex)
-    onManifestAsk(From, Request->manifest);
+    onManifestRequest(From, Request->manifest);
   else if (Reply != nullptr && Reply->index == ManifestIndex)
     onManifestReply(*Reply);
   else
--- a/hawthornroad/agent/AgentPieces.cpp
+++ b/hawthornroad/agent/AgentPieces.cpp
@@ -3,13 +3,13 @@
 
 namespace hawthornroad {
 
-// After a restart of this agent the pieces may lie at the engine already. What
-// lies there is most likely another version; a look at one piece spares reading
-// the rest.
-void StoreAgent::State::lookAtStaged(const std::shared_ptr<Pursuit> &P,
-                                     const platform::PieceDigests &D) {
+// After a restart of this agent the pieces may already be staged at the engine.
+// Most often the staged pieces are of another version; checking one piece first
+// avoids reading the rest.
+void StoreAgent::State::checkStaged(const std::shared_ptr<VersionUpdate> &P,
+                                    const platform::PieceDigests &D) {
   const std::string &Model = P->Version_.Model_;
-  Engine_.call(platform::stagedListCall(Model), AgentEngineLimit,
+  Engine_.call(platform::stagedListCall(Model), AgentEngineTimeout,
                [this, P, D](const HttpCalls::Result &R) {
                  const auto *Answer = std::get_if<HttpAnswer>(&R);
                  std::vector<std::uint32_t> Held;
@@ -18,17 +18,17 @@
                  std::vector<ChunkIndex> First;
                  if (!Held.empty())
                    First.push_back(Held.front());
-                 ReadBack::run(Engine_, P->Version_.Model_, First, D.Digests_,
-                               [this, P, D, Held](const ReadBack::Result &One) {
-                                 if (One.empty())
-                                   return beginTransfer(P, D, {});
-                                 ReadBack::run(
-                                     Engine_, P->Version_.Model_, Held,
-                                     D.Digests_,
-                                     [this, P, D](ReadBack::Result Right) {
-                                       beginTransfer(P, D, std::move(Right));
-                                     });
-                               });
+                 StagedPieceReader::run(
+                     Engine_, P->Version_.Model_, First, D.Digests_,
+                     [this, P, D, Held](const StagedPieceReader::Result &One) {
+                       if (One.empty())
+                         return beginTransfer(P, D, {});
+                       StagedPieceReader::run(
+                           Engine_, P->Version_.Model_, Held, D.Digests_,
+                           [this, P, D](StagedPieceReader::Result Matching) {
+                             beginTransfer(P, D, std::move(Matching));
+                           });
+                     });
                });
 }
 
@@ -45,7 +45,7 @@
 
 void StoreAgent::State::readStaged(const std::string &Model, ChunkIndex Index,
                                    std::function<void(std::string)> Then) {
-  Engine_.call(platform::stagedReadCall(Model, Index), AgentEngineLimit,
+  Engine_.call(platform::stagedReadCall(Model, Index), AgentEngineTimeout,
                [Then = std::move(Then)](HttpCalls::Result R) {
                  auto *Answer = std::get_if<HttpAnswer>(&R);
                  constexpr unsigned Ok = 200;
@@ -54,10 +54,10 @@
                });
 }
 
-void StoreAgent::State::beginTransfer(const std::shared_ptr<Pursuit> &P,
+void StoreAgent::State::beginTransfer(const std::shared_ptr<VersionUpdate> &P,
                                       const platform::PieceDigests &D,
                                       std::map<ChunkIndex, std::string> Held) {
-  P->ManifestUnderWay_ = false;
+  P->ManifestPending_ = false;
   if (P != Current_ && P != Next_)
     return;
   TimePoint Now = bootNow();
@@ -69,18 +69,18 @@
   S.Pieces_ = D.Digests_.size();
   S.PieceBytes_ = D.PieceBytes_;
   PieceTransfer::Callbacks C;
-  std::weak_ptr<Pursuit> Weak = P;
-  C.OnWhole_ = [this, Weak] {
+  std::weak_ptr<VersionUpdate> Weak = P;
+  C.OnComplete_ = [this, Weak] {
     if (auto Held = Weak.lock())
-      onWhole(*Held);
+      onPiecesComplete(*Held);
   };
-  C.OnDoubt_ = [this, Weak] {
+  C.OnDigestsSuspect_ = [this, Weak] {
     auto Held = Weak.lock();
-    if (!Held || Held->ManifestUnderWay_ || !Origin_)
+    if (!Held || Held->ManifestPending_ || !Origin_)
       return;
-    Held->ManifestUnderWay_ = true;
+    Held->ManifestPending_ = true;
     Origin_->call(
-        platform::manifestCall(Held->Version_), ManifestLimit,
+        platform::manifestCall(Held->Version_), ManifestTimeout,
         [this, Held](const HttpCalls::Result &R) { onManifest(Held, R); });
   };
   C.Urgency_ = [this, V = P->Version_](const Vm &Peer) {
@@ -90,36 +90,37 @@
                                                      auto Then) {
     readStaged(Model, Index, std::move(Then));
   };
-  P->Transfer_ = std::make_shared<PieceTransfer>(
-      std::move(S), Io_, Origin_.get(), *Net_, Log_, Pieces_, std::move(C));
+  P->Transfer_ =
+      std::make_shared<PieceTransfer>(std::move(S), Io_, Origin_.get(), *Net_,
+                                      Log_, PieceCounters_, std::move(C));
   P->Transfer_->start(D.Digests_, std::move(Held), Now);
   P->Transfer_->setPeers(Peers_, Now);
   if (Peers_.empty())
     listPeers(Now);
 }
 
-void StoreAgent::State::onWhole(const Pursuit &P) {
+void StoreAgent::State::onPiecesComplete(const VersionUpdate &P) {
   Log_.write(LogLine("pieces_whole")
                  .count("version", P.Version_.Version_)
                  .millis("since_wanted_ms", bootNow() - P.HeardAt_)
-                 .count("origin_bytes", Pieces_.OriginBytes_)
-                 .count("peer_bytes", Pieces_.PeerBytes_));
+                 .count("origin_bytes", PieceCounters_.OriginBytes_)
+                 .count("peer_bytes", PieceCounters_.PeerBytes_));
   if (Current_.get() == &P)
-    Duty_.setStaged(true);
+    Updater_.setStaged(true);
 }
 
 void StoreAgent::State::offerLoaded() {
   const EnginePace *Pace = pace();
-  if (OfferLooked_ || Pace == nullptr || Pace->Pieces_ == 0)
+  if (OfferChecked_ || Pace == nullptr || Pace->Pieces_ == 0)
     return;
-  OfferLooked_ = true;
-  ModelVersion V = *Duty_.wanted();
+  OfferChecked_ = true;
+  ModelVersion V = *Updater_.wanted();
   Engine_.call(
-      platform::stagedListCall(V.Model_), AgentEngineLimit,
+      platform::stagedListCall(V.Model_), AgentEngineTimeout,
       [this, V, Count = Pace->Pieces_,
        Bytes = Pace->PieceBytes_](const HttpCalls::Result &R) {
         const auto *Answer = std::get_if<HttpAnswer>(&R);
-        if (Answer == nullptr || Duty_.wanted() != V || Offer_)
+        if (Answer == nullptr || Updater_.wanted() != V || Offer_)
           return;
         if (platform::decodeStagedList(Answer->Body_).size() < Count)
           return;
@@ -130,8 +131,9 @@
         C.ReadStaged_ = [this, Model = V.Model_](ChunkIndex Index, auto Then) {
           readStaged(Model, Index, std::move(Then));
         };
-        Offer_ = std::make_shared<PieceTransfer>(
-            std::move(S), Io_, nullptr, *Net_, Log_, Pieces_, std::move(C));
+        Offer_ =
+            std::make_shared<PieceTransfer>(std::move(S), Io_, nullptr, *Net_,
+                                            Log_, PieceCounters_, std::move(C));
         Offer_->startOffer(bootNow());
       });
 }
--- a/hawthornroad/agent/AgentVersions.cpp
+++ b/hawthornroad/agent/AgentVersions.cpp
@@ -6,84 +6,87 @@
 namespace hawthornroad {
 
 namespace {
-// Versions count up from here.
 constexpr WeightVersion FirstVersion = 1;
-// An agent that no entry is connected to reads the versions this often; with
-// its spread it hears of one within 18.2 s. Entries tell the others at once.
-constexpr Duration VersionPoll = Seconds(13);
-constexpr Duration OperatorAgain = Milliseconds(400);
-// Each further failure doubles it, up to 3.2 s: a store that is down meets as
-// many agents as there are engines.
-constexpr unsigned MostDoublings = 3;
-constexpr double OperatorSpread = 0.4;
-// A version named this much later than the one under way waits for it.
-constexpr Duration SwitchBefore = Milliseconds(1200);
-
-// The origin takes few connections from all VMs together, and those of a VM
-// that lost its power count for long: none is kept while it is of no use.
+// Interval at which an agent reads the versions while no entry is connected to
+// it. With its jitter, it learns of a version within 18.2 s. Entries tell
+// connected agents at once.
+constexpr Duration VersionPollInterval = Seconds(13);
+constexpr Duration OperatorRetryDelay = Milliseconds(400);
+// Each consecutive failure doubles the delay, up to 3.2 s: when the store
+// fails, as many agents retry as there are engines.
+constexpr unsigned MaxBackoffDoublings = 3;
+constexpr double OperatorJitter = 0.4;
+// A version published this long after the one in progress waits for it.
+constexpr Duration SwitchWindow = Milliseconds(1200);
+
+// The origin accepts few connections from all VMs together, and connections of
+// a VM that lost its power count for a long time: none is kept open while
+// unused.
 //
-// An origin that has gone away leaves its callers waiting, and one that is back
-// is found by the next dial: a dial that is not answered within a few round
-// trips is given up for a new one, long before the system would repeat its lost
-// packet (one second).
+// When the origin becomes unreachable, its callers wait; when it is back, the
+// next dial finds it. A dial that is not answered within a few round trips is
+// replaced by a new one, long before the operating system would retransmit the
+// lost packet (one second).
 HttpCalls::Options originOptions() {
   HttpCalls::Options O;
   O.SpareFor_ = Milliseconds(400);
-  O.WholeLimit_ = OriginWholeLimit;
+  O.WholeLimit_ = OriginReadLimit;
   O.QuickDial_ = Milliseconds(200);
   return O;
 }
 } // namespace
 
-// The text of the configuration is large and changes often, and a VM's agent
-// needs little of it: with every agent reading every change, the links between
-// zones were full and entries got theirs late. So it is read at the start, and
-// again when the origin cannot be reached, and from an entry. Versions come
-// from entries, and are read now and then by an agent that no entry is
-// connected to.
-void StoreAgent::State::askOperators(TimePoint Now) {
-  if (OperatorUnderWay_ || Now < OperatorNotBefore_)
+// The configuration is large and changes often, and an agent needs little of
+// it. When every agent read every change, the links between zones were
+// saturated and entries received theirs late. So an agent reads it at start and
+// again when the origin cannot be reached, and reads it from an entry. Versions
+// come from entries; an agent that no entry is connected to polls the store for
+// them.
+void StoreAgent::State::refreshOperatorTable(TimePoint Now) {
+  if (OperatorPending_ || Now < OperatorNotBefore_)
     return;
   if (MustListOperators_ || pace() == nullptr)
-    return listOperators();
-  if (!isToldByEntries() || newestKnown() < LookedFor_)
+    return listOperatorTable();
+  if (!hasWatchers() || newestKnown() < HeardVersion_)
     return listVersions();
-  OperatorNotBefore_ = Now + Random_.jitter(VersionPoll, OperatorSpread);
+  OperatorNotBefore_ =
+      Now + Random_.jitter(VersionPollInterval, OperatorJitter);
 }
 
-void StoreAgent::State::listOperators() {
-  OperatorUnderWay_ = true;
+void StoreAgent::State::listOperatorTable() {
+  OperatorPending_ = true;
   Reader_.list(std::string(platform::OperatorTable), bootNow(),
                [this](const StoreReply &R) { onOperatorReply(true, R); });
 }
 
 void StoreAgent::State::listVersions() {
-  OperatorUnderWay_ = true;
+  OperatorPending_ = true;
   platform::KeyRange Keys = platform::versionKeys();
   Store_.list(std::string(platform::OperatorTable), Keys.From_, Keys.To_,
               [this](const StoreReply &R) { onOperatorReply(false, R); });
 }
 
-void StoreAgent::State::onOperatorReply(bool IsWhole, const StoreReply &R) {
+void StoreAgent::State::onOperatorReply(bool IsFullTable, const StoreReply &R) {
   TimePoint Now = bootNow();
-  OperatorUnderWay_ = false;
+  OperatorPending_ = false;
   const auto *Rows = std::get_if<StoreRows>(&R);
   OperatorFailures_ = Rows == nullptr ? OperatorFailures_ + 1 : 0;
-  auto Doubled = std::min(OperatorFailures_, MostDoublings);
+  auto Doubled = std::min(OperatorFailures_, MaxBackoffDoublings);
   OperatorNotBefore_ =
-      Now + Random_.jitter(OperatorAgain * (1 << Doubled), OperatorSpread);
+      Now + Random_.jitter(OperatorRetryDelay * (1 << Doubled), OperatorJitter);
   if (Rows == nullptr)
     return;
-  if (IsWhole)
+  if (IsFullTable)
     MustListOperators_ = false;
   onOperatorRows(*Rows);
-  bool IsBehind = newestKnown() < LookedFor_;
+  bool IsBehind = newestKnown() < HeardVersion_;
   if (!IsBehind && pace() != nullptr)
-    OperatorNotBefore_ = Now + Random_.jitter(VersionPoll, OperatorSpread);
+    OperatorNotBefore_ =
+        Now + Random_.jitter(VersionPollInterval, OperatorJitter);
 }
 
 WeightVersion StoreAgent::State::newestKnown() const {
-  WeightVersion Known = Duty_.wanted() ? Duty_.wanted()->Version_ : 0;
+  WeightVersion Known = Updater_.wanted() ? Updater_.wanted()->Version_ : 0;
   return Next_ ? std::max(Known, Next_->Version_.Version_) : Known;
 }
 
@@ -116,11 +119,11 @@
   takeFirstVersion(Now);
 }
 
-// Until operators name a version, the first one counts as wanted: an engine
-// that was added would otherwise stay empty.
+// Until operators publish a version, the first one counts as wanted: an added
+// engine would otherwise stay empty.
 void StoreAgent::State::takeFirstVersion(TimePoint Now) {
   const EnginePace *Pace = pace();
-  if (!Duty_.wanted() && Pace != nullptr && !Pace->Model_.empty())
+  if (!Updater_.wanted() && Pace != nullptr && !Pace->Model_.empty())
     takeVersion({Pace->Model_, FirstVersion}, Now);
 }
 
@@ -131,49 +134,49 @@
 }
 
 void StoreAgent::State::takeVersion(const ModelVersion &V, TimePoint Now) {
-  // A VM has one engine with one model; others' versions are not its own.
+  // A VM has one engine with one model; versions of other models are ignored.
   if (pace() != nullptr && !pace()->Model_.empty() &&
       pace()->Model_ != V.Model_)
     return;
-  if (Duty_.wanted() && V.Version_ <= Duty_.wanted()->Version_)
+  if (Updater_.wanted() && V.Version_ <= Updater_.wanted()->Version_)
     return;
-  auto P = std::make_shared<Pursuit>();
+  auto P = std::make_shared<VersionUpdate>();
   P->Version_ = V;
   P->HeardAt_ = Now;
   Log_.write(LogLine("version_wanted")
                  .text("model", V.Model_)
                  .count("version", V.Version_),
              true);
-  // Each version has its own bound: one that is nearly there is finished first,
-  // or requests would have no engine that may serve them.
-  bool IsFar = isBusy() && !OrderBegun_ && Current_ &&
-               Now - Current_->HeardAt_ >= SwitchBefore;
-  if (!IsFar)
-    return pursue(std::move(P));
+  // Each version has its own bound: an update that is nearly finished is
+  // completed first, or requests would have no engine that may serve them.
+  bool IsNearlyDone = isBusy() && !OrderBegun_ && Current_ &&
+                      Now - Current_->HeardAt_ >= SwitchWindow;
+  if (!IsNearlyDone)
+    return startUpdate(std::move(P));
   if (!Next_ || Next_->Version_.Version_ < V.Version_)
     Next_ = std::move(P);
   step(Now);
 }
 
-void StoreAgent::State::pursue(std::shared_ptr<Pursuit> P) {
-  if (!Duty_.want(P->Version_))
+void StoreAgent::State::startUpdate(std::shared_ptr<VersionUpdate> P) {
+  if (!Updater_.setWanted(P->Version_))
     return;
   Current_ = std::move(P);
-  Duty_.setUselessAt(Current_->HeardAt_ + Settings_.Common_.VersionBound_ -
-                     BoundMargin);
+  Updater_.setObsoleteAt(Current_->HeardAt_ + Settings_.Common_.VersionBound_ -
+                         BoundMargin);
   OrderBegun_ = false;
   LoadedAt_.reset();
   if (Current_->Transfer_) {
     Current_->Transfer_->setReadsOrigin(true);
-    if (Current_->Transfer_->isWhole())
-      Duty_.setStaged(true);
+    if (Current_->Transfer_->isComplete())
+      Updater_.setStaged(true);
   }
   step(bootNow());
 }
 
-void StoreAgent::State::pursueNext() {
+void StoreAgent::State::startNextUpdate() {
   if (Next_)
-    pursue(std::exchange(Next_, nullptr));
+    startUpdate(std::exchange(Next_, nullptr));
 }
 
 } // namespace hawthornroad
--- a/hawthornroad/agent/PieceTransfer.cpp
+++ b/hawthornroad/agent/PieceTransfer.cpp
@@ -14,24 +14,24 @@
 constexpr const char *ReplyBusy = "busy";
 constexpr const char *ReplyMissing = "missing";
 constexpr std::size_t DigestPrefixLength = 7; // "sha256:"
-// The longest silence within a read from the origin: with eight readers, two
-// reads each, a piece stands behind at most 0.45 s of others.
-constexpr Duration OriginSilence = Milliseconds(1200);
-constexpr Duration CheckLimit = Milliseconds(1500);
-// Pieces that wait to be sent at once; peers ask elsewhere for further ones.
+// Longest silence while a piece is read from the origin: with eight readers of
+// two reads each, a piece is queued behind others for at most 0.45 s.
+constexpr Duration OriginIdleTimeout = Milliseconds(1200);
+constexpr Duration OriginCheckTimeout = Milliseconds(1500);
+// Most pieces queued to be sent; beyond it, peers are told to ask elsewhere.
 // Over a narrow link five pieces take an eighth of a second.
-constexpr std::size_t MostUploads = 5;
-// Before all others.
-constexpr unsigned CrossingUrgency = 0;
-// Pieces under way at once on a link that takes them fast.
-constexpr std::size_t MostAtOnce = 4;
-// A piece that takes longer shows a link that is slower than its settings say:
-// four of them take half as long over a narrow link.
+constexpr std::size_t MaxQueuedUploads = 5;
+// Ahead of all other urgencies.
+constexpr unsigned CrossZoneUrgency = 0;
+// Most pieces in flight on a link that delivers them fast.
+constexpr std::size_t MaxConcurrentUploads = 4;
+// A piece that takes longer shows that the link is slower than configured: four
+// pieces take half of this over a narrow link.
 constexpr Duration SlowUpload = Milliseconds(220);
-// A piece whose receiver has said nothing for this long is given up on.
-constexpr Duration UploadLost = Milliseconds(1500);
-// Wrong copies of one piece after which its digest is doubted.
-constexpr unsigned WrongBeforeDoubt = 2;
+// A piece that its receiver has not acknowledged for this long is given up.
+constexpr Duration UploadTimeout = Milliseconds(1500);
+// Copies of one piece with a wrong digest after which the digest is suspect.
+constexpr unsigned MismatchesBeforeSuspicion = 2;
 } // namespace
 
 PieceTransfer::PieceTransfer(Setup S, IoThread &Io, HttpCalls *Origin,
@@ -82,7 +82,7 @@
       originSwarmSetup(Setup_.Self_, Setup_.OriginZone_, Setup_.Seed_), Shape,
       std::move(Have), Now);
   StartedAt_ = Now;
-  WholeTold_ = false;
+  CompleteNotified_ = false;
 }
 
 void PieceTransfer::setPeers(const std::vector<PiecePeer> &Peers,
@@ -104,22 +104,22 @@
     return;
   run(Swarm_->tick(Now), Now);
   upload();
-  checkWhole();
+  checkComplete();
 }
 
-void PieceTransfer::checkWhole() {
+void PieceTransfer::checkComplete() {
   if (std::exchange(HeldBefore_, held()) != held())
-    HeldAt_ = bootNow();
-  if (WholeTold_ || !isWhole())
+    LastPieceAt_ = bootNow();
+  if (CompleteNotified_ || !isComplete())
     return;
-  WholeTold_ = true;
-  if (Callbacks_.OnWhole_)
-    Callbacks_.OnWhole_();
+  CompleteNotified_ = true;
+  if (Callbacks_.OnComplete_)
+    Callbacks_.OnComplete_();
 }
 
 void PieceTransfer::pump(TimePoint Now) {
   run(Swarm_->pump(Now), Now);
-  checkWhole();
+  checkComplete();
 }
 
 void PieceTransfer::run(const std::vector<SwarmAction> &Actions,
@@ -153,15 +153,17 @@
       return;
     auto *Answer = std::get_if<HttpAnswer>(&R);
     constexpr unsigned Ok = 200;
-    Self->noteOrigin(Answer != nullptr && Answer->Status_ == Ok);
+    Self->logOriginState(Answer != nullptr && Answer->Status_ == Ok);
     if (Answer == nullptr || Answer->Status_ != Ok) {
-      bool NoByte = Answer != nullptr || std::get<LinkFailure>(R).NeverSent_;
+      bool NothingReceived =
+          Answer != nullptr || std::get<LinkFailure>(R).NeverSent_;
       Self->Swarm_->onOrigin(
-          Index, NoByte ? OriginEnd::Nothing : OriginEnd::Wasted, bootNow());
+          Index, NothingReceived ? OriginEnd::Nothing : OriginEnd::Wasted,
+          bootNow());
       return;
     }
     Self->Counters_.OriginBytes_ += Answer->Body_.size();
-    if (!Self->isRight(Index, Answer->Body_)) {
+    if (!Self->matchesDigest(Index, Answer->Body_)) {
       Self->Swarm_->onOrigin(Index, OriginEnd::Wasted, bootNow());
       return;
     }
@@ -169,12 +171,12 @@
     Self->Swarm_->onOrigin(Index, OriginEnd::Good, bootNow());
     Self->pump(bootNow());
   };
-  Origin_->call(platform::pieceCall(Setup_.Version_, A.Chunk_), OriginSilence,
-                OnDone);
+  Origin_->call(platform::pieceCall(Setup_.Version_, A.Chunk_),
+                OriginIdleTimeout, OnDone);
 }
 
-// One line when the origin is lost, and one when it is back.
-void PieceTransfer::noteOrigin(bool Answers) {
+// Logs once when the origin stops answering, and once when it answers again.
+void PieceTransfer::logOriginState(bool Answers) {
   if (Answers == OriginAnswers_)
     return;
   OriginAnswers_ = Answers;
@@ -183,26 +185,28 @@
                  .count("held", held()));
 }
 
-// The platform's origin has no ledger of grants, and writes to the table are
-// dear: whoever asks for a grant gets it. The swarm asks only for its own
-// slices, and for others' after their owners have been silent; so a piece may
-// be read twice when views of the fleet differ, and none stays unread.
+// The platform's origin keeps no record of grants, and writes to the table are
+// expensive: whoever asks for a grant gets it. The swarm asks only for its own
+// slices, and for those of others after their owners have been silent. So a
+// piece may be read twice when views of the fleet differ, but none stays
+// unread.
 void PieceTransfer::run(const ClaimGrant &A, TimePoint Now) {
   Swarm_->onClaim(A.Grant_, ClaimResult::Won, Now);
 }
 
-// Asks for the digests again: small, and answered only by a living origin.
+// Reads the manifest again: it is small, and only a working origin answers.
 void PieceTransfer::run(const CheckOrigin &, TimePoint Now) {
   if (Origin_ == nullptr)
     return Swarm_->onOriginChecked(false, Now);
-  Origin_->call(platform::manifestCall(Setup_.Version_), CheckLimit,
+  Origin_->call(platform::manifestCall(Setup_.Version_), OriginCheckTimeout,
                 [Weak = weak_from_this()](const HttpCalls::Result &R) {
                   auto Self = Weak.lock();
                   if (!Self)
                     return;
                   const auto *Answer = std::get_if<HttpAnswer>(&R);
                   constexpr unsigned Ok = 200;
-                  Self->noteOrigin(Answer != nullptr && Answer->Status_ == Ok);
+                  Self->logOriginState(Answer != nullptr &&
+                                       Answer->Status_ == Ok);
                   Self->Swarm_->onOriginChecked(
                       Answer != nullptr && Answer->Status_ == Ok, bootNow());
                 });
@@ -227,7 +231,7 @@
   sendTo(A.News_.To_, makeFrame(std::move(Have)));
 }
 
-Vm PieceTransfer::vmOf(const PeerAddress &Address) const {
+Vm PieceTransfer::findVm(const PeerAddress &Address) const {
   for (const auto &[Peer, Its] : Addresses_)
     if (Its == Address)
       return Peer;
@@ -274,7 +278,7 @@
       Taken.index = Reply->index;
       Net_.reply(From.Connection_, makeFrame(std::move(Taken)));
     }
-    onReply(*Reply, vmOf(From.Address_), Now);
+    onReply(*Reply, findVm(From.Address_), Now);
     return true;
   }
   if (const auto *Taken = Frame.body.AsChunkTaken()) {
@@ -297,7 +301,7 @@
     Reply.bytes.assign(Bytes.begin(), Bytes.end());
   Counters_.SentBytes_ += Bytes.size();
   Net_.reply(To.Connection_, makeFrame(std::move(Reply)));
-  // Nobody acknowledges an error.
+  // Errors are not acknowledged.
   if (Bytes.empty()) {
     Uploading_.erase({To.Connection_, Index});
     upload();
@@ -307,8 +311,9 @@
 void PieceTransfer::onRequest(const PeerContext &From,
                               const wire::ChunkRequestT &R, TimePoint Now) {
   unsigned Urgency = urgencyOf(Vm(R.vm));
-  std::size_t Most = Urgency == CrossingUrgency ? 2 * MostUploads : MostUploads;
-  if (Uploads_.size() >= Most) {
+  std::size_t MaxQueued =
+      Urgency == CrossZoneUrgency ? 2 * MaxQueuedUploads : MaxQueuedUploads;
+  if (Uploads_.size() >= MaxQueued) {
     wire::ChunkReplyT Busy;
     Busy.manifest = R.manifest;
     Busy.index = R.index;
@@ -325,26 +330,25 @@
   upload();
 }
 
-// A piece that crosses to another zone supplies all of it, and may be the last
-// one to do so before the zones are cut off from each other.
+// A piece sent to another zone supplies that whole zone, and may be the last
+// one to get there before the zones are cut off from each other.
 unsigned PieceTransfer::urgencyOf(const Vm &Peer) const {
   auto Found = Zones_.find(Peer);
   if (Found != Zones_.end() && Found->second != Setup_.Self_.Zone_)
-    return CrossingUrgency;
+    return CrossZoneUrgency;
   unsigned InZone = Callbacks_.Urgency_ ? Callbacks_.Urgency_(Peer) : 0;
-  return CrossingUrgency + 1 + InZone;
+  return CrossZoneUrgency + 1 + InZone;
 }
 
-// Pieces go out as the link's share pays for them, few at a time. A link can be
-// narrower than its settings say; a piece that takes long shows it: then they
-// go one by one, with a pause after each, so that live requests keep most of
-// the link.
+// Sends pieces at the upload rate, a few at a time. A link can be slower than
+// configured, which shows when a piece takes long: then pieces are sent one by
+// one, with a pause after each, so that live requests keep most of the link.
 void PieceTransfer::upload() {
   TimePoint Now = bootNow();
   std::erase_if(Uploading_, [&](const auto &Each) {
-    return Now - Each.second >= UploadLost;
+    return Now - Each.second >= UploadTimeout;
   });
-  while (!Uploads_.empty() && Uploading_.size() < UploadsAtOnce_) {
+  while (!Uploads_.empty() && Uploading_.size() < ConcurrentUploads_) {
     TimePoint At = std::max(UploadRate_.opensAt(), UploadNotBefore_);
     if (At > Now)
       return uploadLater(At - Now);
@@ -376,10 +380,10 @@
   Duration Took = Now - Found->second;
   Uploading_.erase(Found);
   if (Took > SlowUpload) {
-    UploadsAtOnce_ = 1;
+    ConcurrentUploads_ = 1;
     UploadNotBefore_ = Now + Took;
   } else if (Took < SlowUpload / 2) {
-    UploadsAtOnce_ = std::min(UploadsAtOnce_ + 1, MostAtOnce);
+    ConcurrentUploads_ = std::min(ConcurrentUploads_ + 1, MaxConcurrentUploads);
   }
   upload();
 }
@@ -397,16 +401,16 @@
       });
 }
 
-bool PieceTransfer::isRight(ChunkIndex Index, const std::string &Bytes) {
+bool PieceTransfer::matchesDigest(ChunkIndex Index, const std::string &Bytes) {
   if (Index >= Digests_.size())
     return false;
   if (sha256(Bytes).substr(DigestPrefixLength) == Digests_[Index])
     return true;
-  ++Counters_.Wrong_;
-  if (++WrongCount_[Index] >= WrongBeforeDoubt) {
-    WrongCount_[Index] = 0;
-    if (Callbacks_.OnDoubt_)
-      Callbacks_.OnDoubt_();
+  ++Counters_.Mismatches_;
+  if (++MismatchCount_[Index] >= MismatchesBeforeSuspicion) {
+    MismatchCount_[Index] = 0;
+    if (Callbacks_.OnDigestsSuspect_)
+      Callbacks_.OnDigestsSuspect_();
   }
   return false;
 }
@@ -424,7 +428,7 @@
   }
   std::string Bytes(R.bytes.begin(), R.bytes.end());
   Counters_.PeerBytes_ += Bytes.size();
-  if (!isRight(Index, Bytes)) {
+  if (!matchesDigest(Index, Bytes)) {
     Log_.write(LogLine("piece_wrong")
                    .count("piece", Index)
                    .text("peer", From.str())
@@ -440,7 +444,7 @@
 void PieceTransfer::onPeerLost(const PeerAddress &Address, TimePoint Now) {
   if (!Swarm_)
     return;
-  Vm Who = vmOf(Address);
+  Vm Who = findVm(Address);
   if (!Who.empty())
     Swarm_->onLost(Who, Now);
 }
--- a/hawthornroad/agent/RowReader.cpp
+++ b/hawthornroad/agent/RowReader.cpp
@@ -8,9 +8,9 @@
 namespace hawthornroad {
 
 namespace {
-// How long an entry may wait for younger knowledge before it answers, and how
-// old that may be: what agents read is looked at again when it proves wrong.
-constexpr Duration AnswerHeld = Milliseconds(250);
+// How long an entry may wait for newer rows before it answers, and how old its
+// rows may be: agents read again when the rows prove wrong.
+constexpr Duration MaxHoldTime = Milliseconds(250);
 constexpr Duration MaxAge = Seconds(2);
 
 constexpr std::uint64_t microseconds(Duration D) {
@@ -18,8 +18,8 @@
 }
 } // namespace
 
-void RowReader::entryCame(const ProcessName &Entry, ConnectionId Connection,
-                          TimePoint Now) {
+void RowReader::onEntryConnected(const ProcessName &Entry,
+                                 ConnectionId Connection, TimePoint Now) {
   Entries_.remove_if([&](const auto &Each) { return Each.first == Entry; });
   auto At = std::next(
       Entries_.begin(),
@@ -50,21 +50,21 @@
     IsAny |= IsOverdue;
   }
   if (IsAny)
-    Ways_.Find_(
+    Transport_.FindEntries_(
         [this](const std::vector<PeerAddress> &Entries) { askFound(Entries); });
 }
 
 FrameBuffer RowReader::question(Read &R) {
   wire::RowsAskT Q;
   Q.number = R.Number_ = NextNumber_++;
-  Q.wait_ms = static_cast<std::uint32_t>(AnswerHeld / Milliseconds(1));
+  Q.wait_ms = static_cast<std::uint32_t>(MaxHoldTime / Milliseconds(1));
   auto Wanted = std::make_unique<wire::TableWantedT>();
   Wanted->table = R.Table_;
   Wanted->max_age_us = microseconds(MaxAge);
   const RowCopy &Copy = Copies_[R.Table_];
   Wanted->listed = Copy.isListed();
   Wanted->after = Copy.version();
-  // So old that any proof is worth an answer at once.
+  // At the age limit, so that an entry with newer rows answers at once.
   Wanted->age_us = microseconds(MaxAge);
   Q.tables.push_back(std::move(Wanted));
   return makeFrame(std::move(Q));
@@ -72,7 +72,7 @@
 
 bool RowReader::askConnected(Read &R) {
   while (!Entries_.empty()) {
-    if (Ways_.Reply_(Entries_.front().second, question(R)))
+    if (Transport_.Reply_(Entries_.front().second, question(R)))
       return true;
     Entries_.pop_front();
   }
@@ -92,13 +92,13 @@
       readStore(std::move(R));
       continue;
     }
-    Ways_.Dial_(Entries[Random_.below(Entries.size())], question(*Each));
+    Transport_.Dial_(Entries[Random_.below(Entries.size())], question(*Each));
     ++Each;
   }
 }
 
 void RowReader::readStore(Read R) {
-  Ways_.ReadStore_(R.Table_, [this, R](const StoreReply &Reply) {
+  Transport_.ReadStore_(R.Table_, [this, R](const StoreReply &Reply) {
     onStore(R.Table_, R.Done_, Reply);
   });
 }
@@ -122,26 +122,26 @@
   bool IsUsable =
       A.tables.size() == 1 && (A.tables[0]->whole || Copy.isListed());
   if (!IsUsable) {
-    askAnotherNext();
+    rotateEntries();
     if (Copy.isListed())
-      return tell(R);
+      return complete(R);
     return readStore(std::move(R));
   }
   try {
     Copy.apply(decodeRelayed(*A.tables[0]));
   } catch (const Error &) {
-    // Spoilt on the way; the store has the same.
+    // Corrupted in transit; the store has the same rows.
     return readStore(std::move(R));
   }
-  tell(R);
+  complete(R);
 }
 
-void RowReader::tell(const Read &R) {
+void RowReader::complete(const Read &R) {
   const RowCopy &Copy = Copies_[R.Table_];
   R.Done_(StoreRows{Copy.since(std::nullopt).Rows_, Copy.version(), false});
 }
 
-void RowReader::askAnotherNext() {
+void RowReader::rotateEntries() {
   if (!Entries_.empty())
     Entries_.splice(Entries_.end(), Entries_, Entries_.begin());
 }
@@ -156,7 +156,7 @@
       ++Each;
       continue;
     }
-    askAnotherNext();
+    rotateEntries();
     Read R = std::move(*Each);
     Each = Reads_.erase(Each);
     readStore(std::move(R));
--- a/hawthornroad/agent/RowReader.h
+++ b/hawthornroad/agent/RowReader.h
@@ -1,31 +1,31 @@
-// Whole tables of the store, from an entry of the zone, or from the store when
-// no entry answers.
+// Reads whole tables of the store, from an entry of the zone, or from the store
+// when no entry answers.
 //
-//   RowReader R({.Reply_ = ..., .Dial_ = ..., .Find_ = ..., .ReadStore_ = ...},
-//               Seed);
-//   R.entryCame("zg-entry-1", Connection);
+//   RowReader R({.Reply_ = ..., .Dial_ = ..., .FindEntries_ = ...,
+//                .ReadStore_ = ...}, Seed);
+//   R.onEntryConnected(ProcessName("zg-entry-1"), Connection, Now);
 //   R.list("op", Now, [](const StoreReply &R) {...});
-//   R.onAnswer(Frame);  R.tick(Now);
+//   R.onAnswer(Answer);  R.tick(Now);
 //
 // The configuration of a large deployment is 336 KB, and the agents of many VMs
 // want it at the same moment: when all start, when endpoints are replaced, when
-// the origin cannot be found. Read from the store it crosses the link between
-// regions once an agent (51 MB in a day of 40 s, seen); from an entry, which
-// has it anyway, it crosses none, deflated.
+// the origin cannot be reached. Read from the store, it crosses the link
+// between regions once per agent (51 MB within 40 s were observed); an entry of
+// the zone already has it and sends it compressed, within the zone.
 //
-// An entry that is connected is asked first, each agent another one. An agent
-// that has just started is not known to entries yet: they come to it after
-// their next reading of the endpoints' list. So it waits EntryWait for one;
-// then it finds their addresses in the store, some hundred bytes. Without the
-// wait a start of everything cost the store a call a VM. One that has been
-// asked has AnswerTimeout.
+// A connected entry is asked first, a different one by each agent. Entries do
+// not know an agent that has just started; they connect to it after they next
+// read the list of endpoints. So it waits EntryWait for one, and then reads the
+// addresses of the entries from the store, some hundred bytes. Without the
+// wait, starting the whole deployment cost the store one call per VM. An entry
+// that is asked has AnswerTimeout to answer.
 //
-// What was read of a table is kept, and the next reading asks for what has
-// changed since: while a version is on its way each agent wants the list of
-// endpoints every second, which for hundreds of them is some ten kilobytes (an
-// estimate, not measured). It is also what is told while entries are without
-// the store: then the store is away or will be asked by them, and a call from
-// each agent every second would bring nothing newer.
+// The rows read from a table are kept, and the next read asks for what has
+// changed since: during a transfer each agent wants the list of endpoints every
+// second, which for hundreds of endpoints is some ten kilobytes (estimated).
+// The kept rows are also the result while entries cannot reach the store: then
+// the store is down or the entries read it as soon as they can, and a call from
+// each agent every second would return nothing newer.
 
 #ifndef HAWTHORNROAD_AGENT_ROWREADER_H
 #define HAWTHORNROAD_AGENT_ROWREADER_H
@@ -46,28 +46,30 @@
 class RowReader {
 public:
   using Done = std::function<void(const StoreReply &)>;
-  struct Ways {
-    // On an entry's own connection. False: it is gone.
+  struct Transport {
+    // Sends on an entry's own connection. False: the connection is closed.
     std::function<bool(ConnectionId, FrameBuffer)> Reply_;
     std::function<void(const PeerAddress &, FrameBuffer)> Dial_;
-    // Tells the addresses of the zone's entries; none when they are not known.
+    // Finds the addresses of the zone's entries; none when they are not known.
     using Found = std::function<void(std::vector<PeerAddress>)>;
-    std::function<void(Found)> Find_;
+    std::function<void(Found)> FindEntries_;
     std::function<void(const std::string &Table, Done)> ReadStore_;
   };
 
-  // The entry holds the question for less; the rest is the way of 60 KB over an
-  // agent's link.
+  // The entry holds the question for less; the rest is the time that 60 KB take
+  // over an agent's link.
   static constexpr Duration AnswerTimeout = Milliseconds(600);
-  // Longer than an entry takes between two readings of the endpoints under a
-  // drain bound of 2 s (0.6 s), and short against a start of everything.
+  // Longer than an entry takes between two reads of the endpoints under a drain
+  // bound of 2 s (0.6 s), and short compared with a start of the whole
+  // deployment.
   static constexpr Duration EntryWait = Milliseconds(900);
 
-  RowReader(Ways W, std::uint64_t Seed) : Ways_(std::move(W)), Random_(Seed) {}
+  RowReader(Transport W, std::uint64_t Seed)
+      : Transport_(std::move(W)), Random_(Seed) {}
 
-  // An entry of this zone is connected, or again under a new connection.
-  void entryCame(const ProcessName &Entry, ConnectionId Connection,
-                 TimePoint Now);
+  // An entry of this zone has connected or reconnected.
+  void onEntryConnected(const ProcessName &Entry, ConnectionId Connection,
+                        TimePoint Now);
   void list(const std::string &Table, TimePoint Now, Done D);
   void onAnswer(const wire::RowsAnswerT &A);
   void tick(TimePoint Now);
@@ -76,28 +78,28 @@
   struct Read {
     std::string Table_;
     Done Done_;
-    // Of the question under way; 0: an entry is awaited or looked for.
+    // Number of the pending question; 0: an entry is awaited or searched for.
     std::uint64_t Number_ = 0;
     TimePoint Since_;
     bool IsSearching_ = false;
   };
   FrameBuffer question(Read &R);
   bool askConnected(Read &R);
-  // Asks a connected entry for what waits for one.
+  // Sends the reads that wait for an entry to a connected one.
   void askWaiting(TimePoint Now);
   void searchOverdue(TimePoint Now);
   void onStore(const std::string &Table, const Done &D, const StoreReply &R);
   void askFound(const std::vector<PeerAddress> &Entries);
   void readStore(Read R);
-  // Tells what is kept of the table.
-  void tell(const Read &R);
-  // The entry that was asked gave nothing: others come before it from now on.
-  void askAnotherNext();
+  // Completes the read with the kept rows of the table.
+  void complete(const Read &R);
+  // Moves the entry that failed to answer behind all others.
+  void rotateEntries();
 
-  Ways Ways_;
+  Transport Transport_;
   Random Random_;
-  // The first is asked; those that come go anywhere in it, so that the agents
-  // of a zone ask different ones.
+  // The first entry is asked. New ones are inserted at random, so that the
+  // agents of a zone ask different entries.
   std::list<std::pair<ProcessName, ConnectionId>> Entries_;
   std::list<Read> Reads_;
   std::map<std::string, RowCopy> Copies_;
--- a/hawthornroad/agent/ReadBack.cpp
+++ b/hawthornroad/agent/StagedPieces.cpp
@@ -1,4 +1,4 @@
-#include "hawthornroad/agent/ReadBack.h"
+#include "hawthornroad/agent/StagedPieces.h"
 
 #include "hawthornroad/base/Hash.h"
 #include "platform/EngineWire.h"
@@ -6,51 +6,51 @@
 namespace hawthornroad {
 
 namespace {
-constexpr Duration EngineLimit = Seconds(1);
+constexpr Duration EngineTimeout = Seconds(1);
 constexpr std::size_t DigestPrefixLength = 7; // "sha256:"
 constexpr unsigned Ok = 200;
 } // namespace
 
-void ReadBack::run(HttpCalls &Engine, const std::string &Model,
-                   std::vector<ChunkIndex> Pieces,
-                   std::vector<std::string> Digests, Done D) {
-  std::shared_ptr<ReadBack> Made(new ReadBack(
+void StagedPieceReader::run(HttpCalls &Engine, const std::string &Model,
+                            std::vector<ChunkIndex> Pieces,
+                            std::vector<std::string> Digests, Done D) {
+  std::shared_ptr<StagedPieceReader> Started(new StagedPieceReader(
       Engine, Model, std::move(Pieces), std::move(Digests), std::move(D)));
-  Made->next();
+  Started->next();
 }
 
-void ReadBack::next() {
-  if (Begun_ >= Pieces_.size())
-    return std::exchange(Done_, nullptr)(std::move(Right_));
-  ChunkIndex Index = Pieces_[Begun_++];
-  Engine_.call(platform::stagedReadCall(Model_, Index), EngineLimit,
+void StagedPieceReader::next() {
+  if (NextIndex_ >= Pieces_.size())
+    return std::exchange(Done_, nullptr)(std::move(Matching_));
+  ChunkIndex Index = Pieces_[NextIndex_++];
+  Engine_.call(platform::stagedReadCall(Model_, Index), EngineTimeout,
                [Self = shared_from_this(), Index](const HttpCalls::Result &R) {
                  const auto *Answer = std::get_if<HttpAnswer>(&R);
-                 bool Right =
+                 bool Matching =
                      Answer != nullptr && Answer->Status_ == Ok &&
                      Index < Self->Digests_.size() &&
                      sha256(Answer->Body_).substr(DigestPrefixLength) ==
                          Self->Digests_[Index];
-                 if (Right)
-                   Self->Right_[Index] = Answer->Body_;
+                 if (Matching)
+                   Self->Matching_[Index] = Answer->Body_;
                  Self->next();
                });
 }
 
-void StagePut::run(HttpCalls &Engine, const std::string &Model, Pieces P,
-                   Done D) {
-  std::shared_ptr<StagePut> Made(
-      new StagePut(Engine, Model, std::move(P), std::move(D)));
-  Made->next();
+void StagedPieceWriter::run(HttpCalls &Engine, const std::string &Model,
+                            Pieces P, Done D) {
+  std::shared_ptr<StagedPieceWriter> Started(
+      new StagedPieceWriter(Engine, Model, std::move(P), std::move(D)));
+  Started->next();
 }
 
-void StagePut::next() {
+void StagedPieceWriter::next() {
   if (Pieces_.empty())
     return std::exchange(Done_, nullptr)(true);
   auto Piece = Pieces_.extract(Pieces_.begin());
   Engine_.call(
       platform::stagePutCall(Model_, Piece.key(), std::move(Piece.mapped())),
-      EngineLimit, [Self = shared_from_this()](const HttpCalls::Result &R) {
+      EngineTimeout, [Self = shared_from_this()](const HttpCalls::Result &R) {
         const auto *Answer = std::get_if<HttpAnswer>(&R);
         constexpr unsigned FirstRedirect = 300;
         if (Answer == nullptr || Answer->Status_ >= FirstRedirect)
--- a/hawthornroad/agent/ReadBack.h
+++ b/hawthornroad/agent/StagedPieces.h
@@ -1,18 +1,20 @@
-// Reads the pieces that lie at an engine back and checks their digests.
+// Access to the pieces that are staged at an engine. StagedPieceReader reads
+// them back and checks their digests:
 //
-//   ReadBack::run(Engine, Version, Pieces, Digests, [](ReadBack::Result R)
-//   {...});
+//   StagedPieceReader::run(Engine, Model, Pieces, Digests,
+//                          [](StagedPieceReader::Result R) {...});
 //
-// StagePut puts pieces there, one call each:
-//   StagePut::run(Engine, Model, Pieces, [](bool All) {...});
+// StagedPieceWriter stages pieces, one call each:
 //
-// Cost: a local call and a SHA-256 a piece; 2.4 MB take some 20 ms.
+//   StagedPieceWriter::run(Engine, Model, Pieces, [](bool All) {...});
+//
+// Cost: a local call and a SHA-256 per piece; 2.4 MB take some 20 ms.
 
-#ifndef HAWTHORNROAD_AGENT_READBACK_H
-#define HAWTHORNROAD_AGENT_READBACK_H
+#ifndef HAWTHORNROAD_AGENT_STAGEDPIECES_H
+#define HAWTHORNROAD_AGENT_STAGEDPIECES_H
 
 #include "hawthornroad/http/HttpCalls.h"
-#include "hawthornroad/staging/EngineDuty.h"
+#include "hawthornroad/staging/EngineUpdater.h"
 #include "hawthornroad/weights/ChunkSet.h"
 
 #include <functional>
@@ -23,9 +25,10 @@
 
 namespace hawthornroad {
 
-class ReadBack : public std::enable_shared_from_this<ReadBack> {
+class StagedPieceReader
+    : public std::enable_shared_from_this<StagedPieceReader> {
 public:
-  // The pieces that were right, with their bytes.
+  // Contents of the pieces that match their digests.
   using Result = std::map<ChunkIndex, std::string>;
   using Done = std::function<void(Result)>;
 
@@ -34,8 +37,9 @@
                   std::vector<std::string> Digests, Done D);
 
 private:
-  ReadBack(HttpCalls &Engine, std::string Model, std::vector<ChunkIndex> Pieces,
-           std::vector<std::string> Digests, Done D)
+  StagedPieceReader(HttpCalls &Engine, std::string Model,
+                    std::vector<ChunkIndex> Pieces,
+                    std::vector<std::string> Digests, Done D)
       : Engine_(Engine), Model_(std::move(Model)), Pieces_(std::move(Pieces)),
         Digests_(std::move(Digests)), Done_(std::move(D)) {}
   void next();
@@ -45,21 +49,22 @@
   std::vector<ChunkIndex> Pieces_;
   std::vector<std::string> Digests_;
   Done Done_;
-  std::size_t Begun_ = 0;
-  Result Right_;
+  std::size_t NextIndex_ = 0;
+  Result Matching_;
 };
 
-class StagePut : public std::enable_shared_from_this<StagePut> {
+class StagedPieceWriter
+    : public std::enable_shared_from_this<StagedPieceWriter> {
 public:
   using Pieces = std::map<ChunkIndex, std::string>;
-  // Whether the engine took all of them.
+  // Whether the engine accepted all of them.
   using Done = std::function<void(bool All)>;
 
   static void run(HttpCalls &Engine, const std::string &Model, Pieces P,
                   Done D);
 
 private:
-  StagePut(HttpCalls &Engine, std::string Model, Pieces P, Done D)
+  StagedPieceWriter(HttpCalls &Engine, std::string Model, Pieces P, Done D)
       : Engine_(Engine), Model_(std::move(Model)), Pieces_(std::move(P)),
         Done_(std::move(D)) {}
   void next();
@@ -72,4 +77,4 @@
 
 } // namespace hawthornroad
 
-#endif // HAWTHORNROAD_AGENT_READBACK_H
+#endif // HAWTHORNROAD_AGENT_STAGEDPIECES_H
--- a/hawthornroad/agent/StoreAgent.cpp
+++ b/hawthornroad/agent/StoreAgent.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr std::size_t WorkRing = 2048;
-// While a version is on its way, and otherwise.
+// Tick intervals while a version is being transferred or loaded, and otherwise.
 constexpr Duration BusyTick = Milliseconds(30);
 constexpr Duration IdleTick = Milliseconds(150);
 constexpr std::size_t EngineCallsAtOnce = 3;
@@ -43,7 +43,7 @@
       Io_("agent", WorkRing),
       Store_(Io_.context(), Settings_.Common_.Store_, Codec_),
       Engine_(Io_.context(), Settings_.EngineAddress_, engineOptions()),
-      Reader_(readerWays(), Random_.next()),
+      Reader_(readerTransport(), Random_.next()),
       MetricsServer_(std::make_shared<HttpListener>(Io_.context(),
                                                     SessionLimits{}, *this)),
       Self_(ipOf(Settings_.EngineAddress_)),
@@ -80,8 +80,8 @@
   Io_.submit([this] { start(); });
 }
 
-RowReader::Ways StoreAgent::State::readerWays() {
-  RowReader::Ways W;
+RowReader::Transport StoreAgent::State::readerTransport() {
+  RowReader::Transport W;
   W.Reply_ = [this](ConnectionId To, FrameBuffer F) {
     return Net_->reply(To, std::move(F));
   };
@@ -91,7 +91,7 @@
   W.ReadStore_ = [this](const std::string &Table, RowReader::Done D) {
     Store_.list(Table, "", "", std::move(D));
   };
-  W.Find_ = [this](RowReader::Ways::Found Then) {
+  W.FindEntries_ = [this](RowReader::Transport::Found Then) {
     listPresences(Store_, Log_, Settings_.Common_.Zone_,
                   [Then = std::move(Then)](const auto &Entries) {
                     std::vector<PeerAddress> Out;
@@ -116,10 +116,10 @@
   for (const auto &T : transfers())
     T->tick(Now);
   Reader_.tick(Now);
-  askOperators(Now);
-  overtake(Now);
+  refreshOperatorTable(Now);
+  supersedeStalled(Now);
   step(Now);
-  seekForOthers(Now);
+  fetchDigestsForPeers(Now);
   Io_.after(isBusy() || isFetching() ? BusyTick : IdleTick, [this] { tick(); });
 }
 
@@ -136,8 +136,8 @@
 }
 
 bool StoreAgent::State::isFetching() const {
-  auto IsPartial = [](const std::shared_ptr<Pursuit> &P) {
-    return P && (!P->Transfer_ || !P->Transfer_->isWhole());
+  auto IsPartial = [](const std::shared_ptr<VersionUpdate> &P) {
+    return P && (!P->Transfer_ || !P->Transfer_->isComplete());
   };
   return (isBusy() && IsPartial(Current_)) || IsPartial(Next_);
 }
@@ -145,13 +145,13 @@
 // ---- Peers ------------------------------------------------------------------
 
 void StoreAgent::State::listPeers(TimePoint Now) {
-  if (PeersUnderWay_)
+  if (PeersPending_)
     return;
-  PeersUnderWay_ = true;
+  PeersPending_ = true;
   PeersAt_ = Now;
   Reader_.list(std::string(platform::EndpointTable), Now,
                [this](const StoreReply &R) {
-                 PeersUnderWay_ = false;
+                 PeersPending_ = false;
                  if (const auto *Rows = std::get_if<StoreRows>(&R))
                    onPeers(*Rows);
                });
@@ -188,13 +188,13 @@
   Frame.UnPackTo(&Unpacked);
   if (const auto *Watch = Unpacked.body.AsEngineWatch()) {
     Watchers_[From.Process_] = {From.Connection_, Watch->loads};
-    // Only entries of the same zone ask for loads.
+    // Only entries of the same zone subscribe to load notices.
     if (Watch->loads)
-      Reader_.entryCame(From.Process_, From.Connection_, bootNow());
-    if (ToldEntries_)
-      Net_->reply(From.Connection_, makeFrame(*ToldEntries_));
+      Reader_.onEntryConnected(From.Process_, From.Connection_, bootNow());
+    if (LastNotice_)
+      Net_->reply(From.Connection_, makeFrame(*LastNotice_));
     for (const auto &Each : Watch->versions)
-      onNamed({Each->model, Each->version});
+      onVersionHeard({Each->model, Each->version});
     return;
   }
   if (const auto *Ask = Unpacked.body.AsPlaceAsk())
@@ -208,17 +208,17 @@
       return;
 }
 
-// Entries and other agents have it from the store, so the store is not asked
-// again: with every agent asking, a version cost a call a VM, all within
-// milliseconds. Without the configuration it is not known whether the model is
-// this engine's; the reading that is under way then brings both.
-void StoreAgent::State::onNamed(const ModelVersion &V) {
+// Entries and other agents have the version from the store, so the store is not
+// read again: when every agent read it, a version cost one call per VM, all
+// within milliseconds. Without the configuration it is not known whether the
+// model belongs to this engine; the read that is then in progress brings both.
+void StoreAgent::State::onVersionHeard(const ModelVersion &V) {
   if (pace() != nullptr) {
     if (V.Version_ > newestKnown())
       takeVersion(V, bootNow());
     return;
   }
-  LookedFor_ = std::max(LookedFor_, V.Version_);
+  HeardVersion_ = std::max(HeardVersion_, V.Version_);
 }
 
 // ---- Metrics ----------------------------------------------------------------
@@ -230,16 +230,16 @@
   Metrics_.set("hawthornroad_store_calls_total",
                static_cast<double>(Store_.counters().Calls_));
   Metrics_.set("hawthornroad_weights_origin_bytes_total",
-               static_cast<double>(Pieces_.OriginBytes_));
+               static_cast<double>(PieceCounters_.OriginBytes_));
   Metrics_.set("hawthornroad_weights_peer_bytes_total",
-               static_cast<double>(Pieces_.PeerBytes_));
+               static_cast<double>(PieceCounters_.PeerBytes_));
   Metrics_.set("hawthornroad_weights_uploaded_bytes_total",
-               static_cast<double>(Pieces_.SentBytes_));
+               static_cast<double>(PieceCounters_.SentBytes_));
   Metrics_.set("hawthornroad_weights_chunks_refused_total",
-               static_cast<double>(Pieces_.Wrong_));
-  if (Duty_.state())
+               static_cast<double>(PieceCounters_.Mismatches_));
+  if (Updater_.state())
     Metrics_.set("hawthornroad_loaded_version",
-                 static_cast<double>(Duty_.state()->Loaded_.Version_));
+                 static_cast<double>(Updater_.state()->Loaded_.Version_));
   S->respond(200, {{"Content-Type", "text/plain; version=0.0.4"}},
              Metrics_.render());
 }
@@ -262,8 +262,8 @@
 
 void StoreAgent::reload(const std::string &File) {
   try {
-    bool Same = StoreAgentSettings::load(File) == State_->Settings_;
-    State_->Log_.write(LogLine("reload").flag("changed", !Same), true);
+    bool IsUnchanged = StoreAgentSettings::load(File) == State_->Settings_;
+    State_->Log_.write(LogLine("reload").flag("changed", !IsUnchanged), true);
   } catch (const Error &E) {
     State_->Log_.write(LogLine("reload_refused").text("detail", E.what()),
                        true);
--- a/hawthornroad/agent/StoreAgent.h
+++ b/hawthornroad/agent/StoreAgent.h
@@ -1,12 +1,13 @@
 // The agent beside one engine, on a platform whose store names the wanted
-// versions: brings the pieces of a version to the engine and has it loaded.
+// versions. It brings the pieces of a version to the engine and orders the
+// load.
 //
 //   StoreAgent Agent(StoreAgentSettings::load(File));
 //   printReady(Agent.readyLine());
 //   Stop.wait();
 //
-// Requests do not pass an agent: entries speak to engines themselves, so the
-// VM's narrow link is left to weights.
+// Requests do not pass through the agent: entries connect to engines directly,
+// so the VM's narrow link is left for weights.
 //
 // One thread does the work; a second one writes the log.
 
--- a/hawthornroad/staging/EngineDuty.cpp
+++ b/hawthornroad/staging/EngineUpdater.cpp
@@ -1,4 +1,4 @@
-#include "hawthornroad/staging/EngineDuty.h"
+#include "hawthornroad/staging/EngineUpdater.h"
 
 namespace hawthornroad {
 
@@ -20,21 +20,21 @@
   return "unknown";
 }
 
-bool EngineDuty::want(ModelVersion V) {
+bool EngineUpdater::setWanted(ModelVersion V) {
   if (Wanted_ && V.Version_ <= Wanted_->Version_)
     return false;
   Wanted_ = std::move(V);
   Staged_ = false;
   VerifiedAt_.reset();
   ClosedAt_.reset();
-  UselessAt_ = TimePoint::max();
-  Misjudged_ = false;
+  ObsoleteAt_ = TimePoint::max();
+  ForecastFailed_ = false;
   return true;
 }
 
-void EngineDuty::reported(EngineReport S, TimePoint Now) {
-  // Another start, or fewer orders than before: what was put beside it may be
-  // gone with the VM's power, and an order that was taken is forgotten.
+void EngineUpdater::onReport(EngineReport S, TimePoint Now) {
+  // The engine restarted, or counts fewer orders than before: what was staged
+  // may have been lost with the VM's power, and an accepted order is forgotten.
   if (State_ && (S.Born_ != State_->Born_ || S.Orders_ < State_->Orders_)) {
     VerifiedAt_.reset();
     ClosedAt_.reset();
@@ -47,83 +47,88 @@
     Loading_ = false;
 }
 
-void EngineDuty::reportFailed(TimePoint Now) {
+void EngineUpdater::onReportFailed(TimePoint Now) {
   ReportedAt_ = Now;
   MustReport_ = true;
 }
 
-void EngineDuty::setStaged(bool IsStaged) {
+void EngineUpdater::setStaged(bool IsStaged) {
   Staged_ = IsStaged;
   if (!IsStaged)
     VerifiedAt_.reset();
 }
 
-void EngineDuty::verified(bool Right, TimePoint Now) {
+void EngineUpdater::onVerified(bool AllMatch, TimePoint Now) {
   Verifying_ = false;
-  if (Right)
+  if (AllMatch)
     VerifiedAt_ = Now;
   else
     setStaged(false);
 }
 
-void EngineDuty::ordered(OrderEnd E, TimePoint Now) {
+void EngineUpdater::onOrderAnswered(OrderResult E, TimePoint Now) {
   Ordering_ = false;
   MustReport_ = true;
   VerifiedAt_.reset();
-  ReportedAt_ = Now - Options_.IdleReport_;
-  if (E == OrderEnd::Begun) {
+  ReportedAt_ = Now - Options_.IdleReportInterval_;
+  if (E == OrderResult::Begun) {
     Loading_ = true;
     ClosedAt_.reset();
     return;
   }
-  if (E == OrderEnd::Already)
+  if (E == OrderResult::Already)
     ClosedAt_.reset();
-  OrderNotBefore_ = Now + Options_.OrderAgain_;
+  OrderNotBefore_ = Now + Options_.OrderRetryDelay_;
 }
 
-bool EngineDuty::reopen(TimePoint Now, bool IsStalled) {
+bool EngineUpdater::reopenIfOverdue(TimePoint Now, bool IsStalled) {
   if (!ClosedAt_ || Staged_)
     return false;
-  if (!IsStalled && Now - *ClosedAt_ < Options_.CloseFor_ + Options_.CloseMost_)
+  if (!IsStalled &&
+      Now - *ClosedAt_ < Options_.CloseLead_ + Options_.MaxCloseOverrun_)
     return false;
   ClosedAt_.reset();
-  Misjudged_ = true;
+  ForecastFailed_ = true;
   return true;
 }
 
-EngineStep EngineDuty::next(TimePoint LoadAt, TimePoint WholeBy,
-                            TimePoint Now) const {
+EngineStep EngineUpdater::next(TimePoint LoadAt, TimePoint ExpectedCompleteAt,
+                               TimePoint Now) const {
   if (Verifying_ || Ordering_)
     return EngineStep::Nothing;
   Duration Age = Now - ReportedAt_;
   bool UnderWay = Wanted_ && !isDone();
   if (MustReport_ || !State_)
-    return Age >= Options_.BusyReport_ ? EngineStep::Report
-                                       : EngineStep::Nothing;
-  if (Age >= (UnderWay ? Options_.BusyReport_ : Options_.IdleReport_))
+    return Age >= Options_.BusyReportInterval_ ? EngineStep::Report
+                                               : EngineStep::Nothing;
+  if (Age >=
+      (UnderWay ? Options_.BusyReportInterval_ : Options_.IdleReportInterval_))
     return EngineStep::Report;
   if (!UnderWay)
     return EngineStep::Nothing;
   bool IsBusy = State_->IsBusy_ || Loading_;
-  bool ComesSoon = !Misjudged_ && WholeBy <= Now + Options_.CloseFor_;
-  bool ServesNobody = isEmpty() || Now >= UselessAt_;
-  bool ClosesNow = !ServesNobody && !ClosedAt_ && !IsBusy &&
-                   Now >= LoadAt - Options_.CloseFor_ && (Staged_ || ComesSoon);
+  bool CompletesSoon =
+      !ForecastFailed_ && ExpectedCompleteAt <= Now + Options_.CloseLead_;
+  bool ServesNothing = isEmpty() || Now >= ObsoleteAt_;
+  bool ClosesNow = !ServesNothing && !ClosedAt_ && !IsBusy &&
+                   Now >= LoadAt - Options_.CloseLead_ &&
+                   (Staged_ || CompletesSoon);
   if (ClosesNow)
     return EngineStep::Close;
-  // Also while another version is being loaded: the engine took what lay there
-  // when it accepted that order.
+  // Also while another version is being loaded: the engine read its staged
+  // pieces when it accepted that order.
   if (!Staged_)
     return EngineStep::Fetch;
   if (IsBusy || Now < OrderNotBefore_)
     return EngineStep::Nothing;
-  if (!ServesNobody && !ClosedAt_)
+  if (!ServesNothing && !ClosedAt_)
     return EngineStep::Nothing;
   bool IsIdle = State_->Running_ + State_->Waiting_ == 0;
   Duration Left = Duration::zero();
-  if (!ServesNobody && !IsIdle)
-    Left = *ClosedAt_ + Options_.CloseFor_ - Now;
-  bool IsVerified = VerifiedAt_ && Now - *VerifiedAt_ <= Options_.VerifiedFor_;
+  if (!ServesNothing && !IsIdle)
+    Left = *ClosedAt_ + Options_.CloseLead_ - Now;
+  bool IsVerified =
+      VerifiedAt_ && Now - *VerifiedAt_ <= Options_.VerificationLifetime_;
   if (Left <= Options_.VerifyTime_ && !IsVerified)
     return EngineStep::Verify;
   return Left <= Duration::zero() ? EngineStep::Order : EngineStep::Nothing;
--- a/hawthornroad/staging/LoadTurn.cpp
+++ b/hawthornroad/staging/LoadSchedule.cpp
@@ -1,4 +1,4 @@
-#include "hawthornroad/staging/LoadTurn.h"
+#include "hawthornroad/staging/LoadSchedule.h"
 
 #include "hawthornroad/base/Hash.h"
 
@@ -6,14 +6,14 @@
 
 namespace hawthornroad {
 
-Duration LoadTurn::room() const {
+Duration LoadSchedule::loadWindow() const {
   Duration Last = Options_.Bound_ - Options_.LoadTime_;
   return std::max<Duration>(Duration::zero(), Last - Options_.Transfer_);
 }
 
-LoadPosition LoadTurn::position(const std::string &Self,
-                                const std::vector<std::string> &ZoneMembers,
-                                const std::string &Version) const {
+LoadPosition LoadSchedule::position(const std::string &Self,
+                                    const std::vector<std::string> &ZoneMembers,
+                                    const std::string &Version) const {
   std::uint64_t Own = rendezvousScore(Version, Self);
   LoadPosition P;
   for (const std::string &Each : ZoneMembers) {
@@ -26,11 +26,11 @@
   return P;
 }
 
-TimePoint LoadTurn::at(const LoadPosition &P, TimePoint HeardAt) const {
+TimePoint LoadSchedule::at(const LoadPosition &P, TimePoint HeardAt) const {
   auto Steps =
       static_cast<Duration::rep>(std::max<std::size_t>(2, P.Members_) - 1);
   auto Index = static_cast<Duration::rep>(P.Index_);
-  return HeardAt + Options_.Transfer_ + room() * Index / Steps;
+  return HeardAt + Options_.Transfer_ + loadWindow() * Index / Steps;
 }
 
 } // namespace hawthornroad
--- a/hawthornroad/staging/PlaceGrants.cpp
+++ b/hawthornroad/staging/PlaceGrants.cpp
@@ -4,7 +4,7 @@
 
 namespace hawthornroad {
 
-void PlaceGrants::reported(unsigned Running, unsigned Waiting,
+void PlaceGrants::onReport(unsigned Running, unsigned Waiting,
                            TimePoint AskedAt) {
   Running_ = Running;
   Waiting_ = Waiting;
--- a/hawthornroad/staging/PlaceGrants.h
+++ b/hawthornroad/staging/PlaceGrants.h
@@ -1,19 +1,20 @@
-// Gives out the places of one engine to the entries that ask for them.
+// Grants the places of one engine to the entries that ask for them.
 //
 //   PlaceGrants Grants;
-//   Grants.reported(Running, Waiting, AskedAt);       // the engine's own word
+//   Grants.onReport(Running, Waiting, AskedAt);  // what the engine reports
 //   if (Grants.isFresh(Now)) Answer = Grants.ask(Kind, Pace, Now);
 //
-// Entries know an engine by reports that are a tenth of a second old or more,
-// and not at all what the others send meanwhile. Forty of them before thirty
-// engines all sent to the engine that had looked emptiest: requests stood there
-// for more than a second and came late or not at all, while other engines had
-// places. The agent beside the engine knows it at any moment, so it decides.
+// Entries know an engine only by reports that are at least a tenth of a second
+// old, and do not see what other entries send meanwhile. With forty entries and
+// thirty engines, all entries sent to the engine that had looked least loaded:
+// requests queued there for more than a second and were answered late or not at
+// all, while other engines had free places. The agent beside the engine knows
+// its current state, so it decides.
 //
-// A place that was granted is taken when its request arrives, and is then part
-// of the engine's report. Until a report that is later by Transit can show it,
-// it counts as taken; so one whose request never comes is free again soon, and
-// nobody has to give it back.
+// A granted place is used when its request arrives, and then shows in the
+// engine's report. Until a report that was asked for at least Transit after the
+// grant, the place counts as taken. So a grant whose request never arrives
+// expires by itself, and no release message is needed.
 //
 // No I/O, no clock, no threads. Memory: the grants of the last Transit and of
 // the time between two reports.
@@ -28,39 +29,39 @@
 
 namespace hawthornroad {
 
-// Who asks for a place.
+// Kind of request that a place is asked for.
 enum class PlaceKind {
   First,
-  // Cannot be answered in time any more.
+  // Can no longer be answered by its deadline.
   Late,
-  // Goes on with an answer that has begun.
+  // Continues an answer that has begun.
   Resumed
 };
 
 class PlaceGrants {
 public:
   struct Options {
-    // From a grant to the request's arrival at the engine: to another region
-    // and back, with a new connection.
+    // Time from a grant to the request's arrival at the engine: a round trip to
+    // another region, with a new connection.
     Duration Transit_ = Milliseconds(15);
-    // A report older than this is asked for anew before an answer. An engine
+    // Age after which a report is renewed before a place is granted. An engine
     // begins and ends a request about every tenth of a second.
-    Duration Fresh_ = Milliseconds(15);
-    // Prompts that may stand before a request, as reading time. Beyond it, it
-    // is served sooner elsewhere.
+    Duration MaxReportAge_ = Milliseconds(15);
+    // Most prompts that may be queued before a request, as time to process
+    // them. Beyond it another engine would serve the request sooner.
     Duration MostReading_ = Milliseconds(100);
-    // Part of the places that is left empty.
+    // Share of the places that is kept free.
     double PlacesKept_ = 0;
-    // Part of the places that late requests leave free.
+    // Share of the places that late requests must leave free.
     double KeptFromLate_ = 0.2;
-    // Places beyond the batch for answers that have begun: their callers have
-    // half of what they wait for, and the engine takes them first.
+    // Extra places beyond the batch for answers that have begun: their callers
+    // already have half of the answer, and the engine schedules them first.
     unsigned ExtraForResumed_ = 2;
   };
-  // Of the engine, as declared.
+  // Capacity of the engine as configured.
   struct Pace {
     unsigned Places_ = 1;
-    // Reading a usual prompt.
+    // Time to process a typical prompt.
     Duration Reading_ = Duration::zero();
   };
 
@@ -68,14 +69,14 @@
   explicit PlaceGrants(Options O) : Options_(O) {}
 
   // AskedAt: when the engine was asked.
-  void reported(unsigned Running, unsigned Waiting, TimePoint AskedAt);
+  void onReport(unsigned Running, unsigned Waiting, TimePoint AskedAt);
   bool isFresh(TimePoint Now) const {
-    return ReportedAt_ && Now - *ReportedAt_ <= Options_.Fresh_;
+    return ReportedAt_ && Now - *ReportedAt_ <= Options_.MaxReportAge_;
   }
-  // Counts the place as taken when it is granted.
+  // Returns whether a place is granted; a granted place counts as taken.
   bool ask(PlaceKind Kind, const Pace &P, TimePoint Now);
   unsigned running() const { return Running_; }
-  // Reported, and granted since.
+  // Requests reported as waiting, and grants not yet in a report.
   unsigned waiting() const {
     return Waiting_ + static_cast<unsigned>(Granted_.size());
   }
--- a/tests/integration/StoreAgentTest.cpp
+++ b/tests/integration/StoreAgentTest.cpp
@@ -1,5 +1,5 @@
-// The agent of a platform with a store, as a real process beside an engine,
-// with an origin of weights.
+// The agent of a platform with a store, run as a process beside an engine, with
+// an origin of weights.
 
 #include "hawthornroad/base/Hash.h"
 #include "tests/integration/PlatformFixture.h"
@@ -29,7 +29,7 @@
              : std::stoi(Target.substr(At + Key.size() + 1));
 }
 
-// An engine that loads what is staged, and the origin of its weights.
+// An engine that loads the staged pieces, and the origin of its weights.
 class EngineStandIn {
 public:
   EngineStandIn() {
@@ -48,25 +48,26 @@
     std::lock_guard Lock(Mutex_);
     return Loaded_;
   }
-  // Orders it has begun, and whether each found whole weights of one version.
+  // Accepted orders, and whether each found all pieces of one version.
   int orders() {
     std::lock_guard Lock(Mutex_);
     return Orders_;
   }
-  bool alwaysWhole() {
+  bool alwaysComplete() {
     std::lock_guard Lock(Mutex_);
-    return AlwaysWhole_;
+    return AlwaysComplete_;
   }
   int pieceReads() {
     std::lock_guard Lock(Mutex_);
     return PieceReads_;
   }
-  // The next answers of the origin are spoilt; the next orders are taken and
-  // not answered; a staged piece turns bad right after it was put.
-  void spoilOrigin(int Count) { SpoilOrigin_ = Count; }
-  void loseOrders(int Count) { LoseOrders_ = Count; }
-  void rotOnce() { Rot_ = true; }
-  // The engine starts anew: it holds no weights and has counted no orders.
+  // Faults: the next Count answers of the origin are corrupted; the next Count
+  // orders are accepted and not answered; one staged piece is corrupted right
+  // after it was put.
+  void corruptOrigin(int Count) { CorruptOrigin_ = Count; }
+  void loseOrderAnswers(int Count) { LoseOrderAnswers_ = Count; }
+  void corruptStagedOnce() { CorruptStaged_ = true; }
+  // The engine restarts: it holds no weights and has counted no orders.
   void restart() {
     std::lock_guard Lock(Mutex_);
     Loaded_ = 0;
@@ -84,14 +85,14 @@
       ++PieceReads_;
       std::string Bytes =
           piece(queryNumber(T, "version"), queryNumber(T, "num"));
-      if (SpoilOrigin_ > 0 && SpoilOrigin_-- > 0)
+      if (CorruptOrigin_ > 0 && CorruptOrigin_-- > 0)
         Bytes[0] = 'X';
       return X->respond({.Status_ = 200, .Body_ = Bytes});
     }
     if (T.starts_with("/-/stage-put/")) {
       int Index = queryNumber(T, "num");
       Staged_[Index] = R.Body_;
-      if (Rot_.exchange(false))
+      if (CorruptStaged_.exchange(false))
         Staged_[Index] = "rotten";
       return X->respond({.Status_ = 200});
     }
@@ -148,9 +149,9 @@
       return X->respond({.Status_ = 409});
     ++Orders_;
     for (int I = 0; I < Pieces; ++I)
-      AlwaysWhole_ = AlwaysWhole_ && Staged_[I] == piece(Version, I);
+      AlwaysComplete_ = AlwaysComplete_ && Staged_[I] == piece(Version, I);
     Loaded_ = Version;
-    if (LoseOrders_ > 0 && LoseOrders_-- > 0)
+    if (LoseOrderAnswers_ > 0 && LoseOrderAnswers_-- > 0)
       return X->abort();
     X->respond({.Status_ = 202});
   }
@@ -161,10 +162,10 @@
   int Loaded_ = 0;
   int Orders_ = 0;
   int PieceReads_ = 0;
-  bool AlwaysWhole_ = true;
-  std::atomic<int> SpoilOrigin_{0};
-  std::atomic<int> LoseOrders_{0};
-  std::atomic<bool> Rot_{false};
+  bool AlwaysComplete_ = true;
+  std::atomic<int> CorruptOrigin_{0};
+  std::atomic<int> LoseOrderAnswers_{0};
+  std::atomic<bool> CorruptStaged_{false};
   std::unique_ptr<HttpServer> Server_;
   std::string Address_;
 };
@@ -227,14 +228,14 @@
   void awaitLoaded(int Version) {
     eventually([&] { return Engine_.loaded() == Version; },
                "version " + std::to_string(Version) + " is loaded");
-    REQUIRE(Engine_.alwaysWhole());
+    REQUIRE(Engine_.alwaysComplete());
   }
 };
 } // namespace
 
 TEST_CASE_METHOD(AgentFixture,
-                 "store agent, beside an empty engine, loads the first version "
-                 "and then each that is named",
+                 "store agent, beside an empty engine, loads the first "
+                 "version and then each that is published",
                  "[store-agent]") {
   start();
   awaitLoaded(1);
@@ -244,26 +245,26 @@
   REQUIRE(Engine_.pieceReads() == 2 * Pieces);
 }
 
-// The origin hands out wrong bytes, and a piece turns bad where it is staged.
+// The origin returns wrong bytes, and a piece is corrupted after it was staged.
 // Neither may ever be loaded.
 TEST_CASE_METHOD(AgentFixture,
-                 "store agent, with spoilt reads and a staged piece that turns "
-                 "bad, loads whole weights only",
+                 "store agent, with corrupted reads and a corrupted staged "
+                 "piece, loads complete weights only",
                  "[store-agent]") {
-  Engine_.spoilOrigin(3);
-  Engine_.rotOnce();
+  Engine_.corruptOrigin(3);
+  Engine_.corruptStagedOnce();
   start();
   awaitLoaded(1);
   REQUIRE(Engine_.orders() == 1);
 }
 
-// The engine takes an order and its answer is lost. A second order must name
-// the count that the engine has now, and none is needed.
+// The engine accepts an order and its answer is lost. A second order would have
+// to name the engine's new order count, and none is needed.
 TEST_CASE_METHOD(AgentFixture,
                  "store agent, when an order's answer is lost, reads back and "
                  "does not give it twice",
                  "[store-agent]") {
-  Engine_.loseOrders(1);
+  Engine_.loseOrderAnswers(1);
   start();
   awaitLoaded(1);
   std::this_thread::sleep_for(std::chrono::milliseconds(1200));
@@ -271,8 +272,8 @@
 }
 
 TEST_CASE_METHOD(AgentFixture,
-                 "store agent, when its engine starts anew, loads again from "
-                 "what it has",
+                 "store agent, when its engine restarts, loads again from "
+                 "the pieces it has",
                  "[store-agent]") {
   start();
   awaitLoaded(1);
@@ -283,8 +284,8 @@
 }
 
 TEST_CASE_METHOD(AgentFixture,
-                 "store agent, when it is replaced itself, takes what lies "
-                 "staged after checking it",
+                 "store agent, when it restarts itself, uses the staged "
+                 "pieces after checking them",
                  "[store-agent]") {
   start();
   awaitLoaded(1);
--- a/tests/unit/PlaceGrantsTest.cpp
+++ b/tests/unit/PlaceGrantsTest.cpp
@@ -1,5 +1,5 @@
-// Which requests an engine's agent gives a place. The load: many entries that
-// see the same engine empty at the same moment.
+// Which requests an engine's agent grants a place, when many entries see the
+// same engine idle at the same moment.
 
 #include "hawthornroad/staging/PlaceGrants.h"
 
@@ -12,7 +12,7 @@
 
 struct GrantsFixture {
   PlaceGrants Grants_;
-  // Twelve requests at once; a usual prompt is read in 55 ms.
+  // Twelve requests at once; a typical prompt is processed in 55 ms.
   PlaceGrants::Pace Pace_{.Places_ = 12, .Reading_ = Milliseconds(55)};
 
   unsigned granted(unsigned Asked, TimePoint Now,
@@ -25,52 +25,52 @@
 };
 } // namespace
 
-// Forty entries see one engine free, after a load or an end of many requests.
-// Each by its own view sends there; the last ones are begun two seconds later.
-// The agent lets in what can be read soon and no more.
+// Forty entries see one engine idle, after a load or when many requests have
+// ended. Each would send to it on its own view, and the last requests would
+// start two seconds later. The agent admits only what can be processed soon.
 TEST_CASE_METHOD(GrantsFixture,
-                 "place grants, asked by forty entries at once, let in what is "
-                 "read soon",
+                 "place grants, asked by forty entries at once, admit what "
+                 "is processed soon",
                  "[staging]") {
-  Grants_.reported(4, 0, Start);
+  Grants_.onReport(4, 0, Start);
   REQUIRE(granted(40, Start) == 2);
-  // They are being read; the report shows it.
-  Grants_.reported(6, 0, Start + Milliseconds(120));
+  // The granted requests are running; the report shows them.
+  Grants_.onReport(6, 0, Start + Milliseconds(120));
   REQUIRE(granted(40, Start + Milliseconds(120)) == 2);
 }
 
 TEST_CASE_METHOD(GrantsFixture,
-                 "place grants, with one place left, give it once",
+                 "place grants, with one place left, grant it once",
                  "[staging]") {
-  Grants_.reported(11, 0, Start);
+  Grants_.onReport(11, 0, Start);
   REQUIRE(granted(40, Start) == 1);
 }
 
-// A request that is on its way is in no report yet: a report asked for before
-// it can have arrived must not free its place.
+// A request in transit is in no report yet: a report asked for before it can
+// have arrived must not free its place.
 TEST_CASE_METHOD(GrantsFixture,
                  "place grants, reported before a granted request can have "
                  "arrived, count its place as taken",
                  "[staging]") {
-  Grants_.reported(11, 0, Start);
+  Grants_.onReport(11, 0, Start);
   REQUIRE(granted(1, Start + Milliseconds(1)) == 1);
-  Grants_.reported(11, 0, Start + Milliseconds(5));
+  Grants_.onReport(11, 0, Start + Milliseconds(5));
   REQUIRE(granted(1, Start + Milliseconds(6)) == 0);
 }
 
 TEST_CASE_METHOD(GrantsFixture,
-                 "place grants, when a granted request never comes, give its "
-                 "place again",
+                 "place grants, when a granted request never arrives, grant "
+                 "its place again",
                  "[staging]") {
-  Grants_.reported(11, 0, Start);
+  Grants_.onReport(11, 0, Start);
   REQUIRE(granted(1, Start) == 1);
-  Grants_.reported(11, 0, Start + Milliseconds(30));
+  Grants_.onReport(11, 0, Start + Milliseconds(30));
   REQUIRE(granted(1, Start + Milliseconds(30)) == 1);
 }
 
 TEST_CASE_METHOD(GrantsFixture,
-                 "place grants, by who asks, leave places to those who lose "
-                 "most",
+                 "place grants, by kind of request, keep places for those "
+                 "that lose most",
                  "[staging]") {
   struct Row {
     unsigned Running_;
@@ -85,7 +85,7 @@
                                        {14, PlaceKind::Resumed, false}}) {
     CAPTURE(R.Running_, static_cast<int>(R.Kind_));
     PlaceGrants Each;
-    Each.reported(R.Running_, 0, Start);
+    Each.onReport(R.Running_, 0, Start);
     REQUIRE(Each.ask(R.Kind_, Pace_, Start) == R.IsGranted_);
   }
 }
@@ -95,7 +95,7 @@
                  "first",
                  "[staging]") {
   REQUIRE_FALSE(Grants_.isFresh(Start));
-  Grants_.reported(1, 0, Start);
+  Grants_.onReport(1, 0, Start);
   REQUIRE(Grants_.isFresh(Start + Milliseconds(10)));
   REQUIRE_FALSE(Grants_.isFresh(Start + Milliseconds(30)));
 }
--- a/tests/unit/RowReaderTest.cpp
+++ b/tests/unit/RowReaderTest.cpp
@@ -1,4 +1,4 @@
-// From whom an agent reads whole tables, with entries that answer or do not.
+// Where an agent reads whole tables from, with entries that answer or do not.
 
 #include "hawthornroad/agent/RowReader.h"
 #include "hawthornroad/entry/TableRelay.h"
@@ -11,26 +11,26 @@
 constexpr TimePoint Start{Seconds(1000)};
 
 struct ReaderFixture {
-  // What was read from the store itself.
+  // Reads that went to the store itself.
   int StoreReads_ = 0;
   TimePoint Now_ = Start;
-  // By connection; closed ones take nothing.
+  // Questions by connection; a closed connection accepts none.
   std::vector<std::pair<ConnectionId, std::uint64_t>> Asked_;
   wire::TableWantedT LastWanted_;
   ConnectionId Closed_ = 0;
   int Done_ = 0;
   StoreRows Got_;
-  // Whom the store lists as entries of the zone, and who was dialled.
+  // Entries of the zone as listed in the store, and the dialled ones.
   std::vector<PeerAddress> Listed_;
   std::vector<std::pair<PeerAddress, std::uint64_t>> Dialled_;
-  int Finds_ = 0;
-  RowReader R_{ways(), 1};
+  int EntryLookups_ = 0;
+  RowReader R_{transport(), 1};
 
   static std::uint64_t numberOf(const FrameBuffer &F) {
     return wire::GetFrame(F->data())->body_as_RowsAsk()->number();
   }
-  RowReader::Ways ways() {
-    RowReader::Ways W;
+  RowReader::Transport transport() {
+    RowReader::Transport W;
     W.Reply_ = [this](ConnectionId To, FrameBuffer F) {
       if (To == Closed_)
         return false;
@@ -46,8 +46,8 @@
     W.ReadStore_ = [this](const std::string &, const RowReader::Done &) {
       ++StoreReads_;
     };
-    W.Find_ = [this](RowReader::Ways::Found Then) {
-      ++Finds_;
+    W.FindEntries_ = [this](RowReader::Transport::Found Then) {
+      ++EntryLookups_;
       Then(Listed_);
     };
     return W;
@@ -82,13 +82,13 @@
 } // namespace
 
 TEST_CASE_METHOD(ReaderFixture,
-                 "row reader, with an entry that answers, leaves the store "
-                 "alone",
+                 "row reader, with an entry that answers, does not read the "
+                 "store",
                  "[relay]") {
-  R_.entryCame(ProcessName("e1"), 4, Now_);
+  R_.onEntryConnected(ProcessName("e1"), 4, Now_);
   list();
   REQUIRE(Asked_.size() == 1);
-  REQUIRE(Finds_ == 0);
+  REQUIRE(EntryLookups_ == 0);
   R_.onAnswer(answer(Asked_[0].second));
   REQUIRE(Done_ == 1);
   REQUIRE(Got_.Rows_.at(0).Value_ == "{}");
@@ -99,16 +99,16 @@
   REQUIRE(StoreReads_ == 0);
 }
 
-// Endpoints are replaced one after the other; each new VM's agent reads the
-// configuration before any entry knows of it. Thirty that read it from the
-// store at once filled the link between two regions.
+// Endpoints are replaced one after the other, and each new VM's agent reads the
+// configuration before any entry knows of it. Thirty agents that read it from
+// the store at once saturated the link between two regions.
 TEST_CASE_METHOD(ReaderFixture,
-                 "row reader, started before any entry has come, finds one in "
-                 "the store and asks it",
+                 "row reader, started before any entry has connected, finds "
+                 "one in the store and asks it",
                  "[relay]") {
   Listed_ = {PeerAddress("10.0.0.1:7700")};
   list();
-  REQUIRE(Finds_ == 0);
+  REQUIRE(EntryLookups_ == 0);
   pass(RowReader::EntryWait);
   REQUIRE(Dialled_.size() == 1);
   SECTION("it answers") {
@@ -123,32 +123,32 @@
   }
 }
 
-// Hundreds of agents start together and entries come to each of them soon. Each
-// that looked for an entry in the store at once cost it a call.
+// Hundreds of agents start together, and entries connect to each of them soon.
+// An agent that looked for an entry in the store at once cost the store a call.
 TEST_CASE_METHOD(ReaderFixture,
-                 "row reader, when an entry comes soon after its start, asks "
-                 "it and leaves the store alone",
+                 "row reader, when an entry connects soon after its start, "
+                 "asks it and does not call the store",
                  "[relay]") {
   list();
   pass(Milliseconds(500));
   REQUIRE(Asked_.empty());
-  R_.entryCame(ProcessName("e1"), 4, Now_);
+  R_.onEntryConnected(ProcessName("e1"), 4, Now_);
   REQUIRE(Asked_.size() == 1);
   pass(Milliseconds(500));
   R_.onAnswer(answer(Asked_[0].second));
   REQUIRE(Done_ == 1);
   pass(Seconds(2));
-  REQUIRE(Finds_ == 0);
+  REQUIRE(EntryLookups_ == 0);
   REQUIRE(StoreReads_ == 0);
 }
 
-// While a version is on its way each of 265 agents wants the list of endpoints
-// every second, and nearly all of its rows are the same as a second ago.
+// During a transfer each of 265 agents wants the list of endpoints every
+// second, and nearly all of its rows are the same as a second ago.
 TEST_CASE_METHOD(ReaderFixture,
                  "row reader, with a table read before, asks for what has "
-                 "changed and tells the whole",
+                 "changed and returns the whole table",
                  "[relay]") {
-  R_.entryCame(ProcessName("e1"), 4, Now_);
+  R_.onEntryConnected(ProcessName("e1"), 4, Now_);
   list();
   CHECK_FALSE(LastWanted_.listed);
   R_.onAnswer(answer(Asked_[0].second));
@@ -168,15 +168,15 @@
   CHECK(Got_.Version_ == 12);
 }
 
-// The store is down for eight seconds while a version is on its way. Each agent
-// wants the list of endpoints every second, its entries are without the store,
-// and 265 agents asked it in vain, at a price, every second.
+// The store is down for eight seconds during a transfer. Each agent wants the
+// list of endpoints every second, its entries cannot reach the store, and 265
+// agents called it every second without result, although calls are costly.
 TEST_CASE_METHOD(ReaderFixture,
-                 "row reader, while its entry is without the store, tells what "
-                 "it has and asks another entry next",
+                 "row reader, while its entry cannot reach the store, "
+                 "returns what it has and asks another entry next",
                  "[relay]") {
-  R_.entryCame(ProcessName("e1"), 4, Now_);
-  R_.entryCame(ProcessName("e2"), 5, Now_);
+  R_.onEntryConnected(ProcessName("e1"), 4, Now_);
+  R_.onEntryConnected(ProcessName("e2"), 5, Now_);
   list();
   R_.onAnswer(answer(Asked_[0].second));
   list();
@@ -192,10 +192,10 @@
 }
 
 TEST_CASE_METHOD(ReaderFixture,
-                 "row reader, told changes of a table that it never read, "
+                 "row reader, sent changes of a table that it never read, "
                  "reads the store",
                  "[relay]") {
-  R_.entryCame(ProcessName("e1"), 4, Now_);
+  R_.onEntryConnected(ProcessName("e1"), 4, Now_);
   list();
   wire::RowsAnswerT Change = answer(Asked_[0].second);
   Change.tables[0]->whole = false;
@@ -209,18 +209,18 @@
                  "[relay]") {
   list();
   pass(RowReader::EntryWait);
-  REQUIRE(Finds_ == 1);
+  REQUIRE(EntryLookups_ == 1);
   REQUIRE(StoreReads_ == 1);
 }
 
-// An entry is frozen or has lost its way to the store; the agent must have the
-// origin's address all the same, and not ask the same entry first again.
+// An entry hangs or has lost its connection to the store; the agent must still
+// learn the origin's address, and not ask the same entry first again.
 TEST_CASE_METHOD(ReaderFixture,
-                 "row reader, with an entry that is silent or knows nothing, "
+                 "row reader, with an entry that is silent or has no rows, "
                  "reads the store and asks another the next time",
                  "[relay]") {
-  R_.entryCame(ProcessName("e1"), 4, Now_);
-  R_.entryCame(ProcessName("e2"), 5, Now_);
+  R_.onEntryConnected(ProcessName("e1"), 4, Now_);
+  R_.onEntryConnected(ProcessName("e2"), 5, Now_);
   list();
   ConnectionId First = Asked_[0].first;
   SECTION("silent") {
@@ -240,19 +240,18 @@
 }
 
 TEST_CASE_METHOD(ReaderFixture,
-                 "row reader, with a connection that is gone, asks the next "
-                 "entry",
+                 "row reader, with a closed connection, asks the next entry",
                  "[relay]") {
   Closed_ = GENERATE(ConnectionId(4), ConnectionId(5));
-  R_.entryCame(ProcessName("e1"), 4, Now_);
-  R_.entryCame(ProcessName("e2"), 5, Now_);
+  R_.onEntryConnected(ProcessName("e1"), 4, Now_);
+  R_.onEntryConnected(ProcessName("e2"), 5, Now_);
   list();
   REQUIRE(Asked_.size() == 1);
   REQUIRE(Asked_[0].first != Closed_);
 }
 
-// The agents of a zone have the same entries; all asking the last to have come
-// would fill its link.
+// The agents of a zone have the same entries; if all asked the one that
+// connected last, they would saturate its link.
 TEST_CASE_METHOD(ReaderFixture,
                  "row reader, of many agents with the same entries, spread "
                  "their questions",
@@ -260,9 +259,9 @@
   std::map<ConnectionId, int> Asked;
   for (std::uint64_t Seed = 1; Seed <= 60; ++Seed) {
     ReaderFixture One;
-    RowReader R(One.ways(), Seed);
+    RowReader R(One.transport(), Seed);
     for (ConnectionId Each = 1; Each <= 6; ++Each)
-      R.entryCame(ProcessName("e" + std::to_string(Each)), Each, Now_);
+      R.onEntryConnected(ProcessName("e" + std::to_string(Each)), Each, Now_);
     R.list("op", Now_, [](const StoreReply &) {});
     ++Asked[One.Asked_.at(0).first];
   }
