--- a/hawthornroad/entry/DirectEntry.cpp
+++ b/hawthornroad/entry/DirectEntry.cpp
@@ -10,45 +10,50 @@
 namespace hawthornroad {
 
 namespace {
-constexpr std::size_t WorkRing = 1024;
-// Time limits are seen to this often; the shortest one is 80 ms.
+constexpr std::size_t WorkRingCapacity = 1024;
+// How often time limits are checked; the shortest one is 80 ms.
 constexpr Duration TickPeriod = Milliseconds(20);
-// Unused connections are looked over this often.
+// How often idle connections are checked.
 constexpr Duration SweepPeriod = Milliseconds(200);
-// The endpoints' list changes often, and every read costs a call: it is read as
-// seldom as the bound on leaving endpoints allows, with as much time again for
-// the answer and for requests on their way.
+// Read interval of the endpoint table, as a share of the bound on draining
+// endpoints. The table changes often and every read costs a call, so it is read
+// as rarely as the bound allows, with as much time again for the answer and for
+// requests in transit.
 constexpr double EndpointPaceShare = 0.45;
-// How long the store may hold a question with nothing to tell. The one for the
-// operators' table also renews the proof of the configuration: this part of the
-// bound on configurations, so that an answer that is late by as much again
-// still finds the proof good (ConfigFence).
+// How long the store may hold a call while nothing changes. A call for the
+// operators' table also renews the proof that the configuration is current: it
+// is held for this share of the bound on configurations, so that the proof is
+// still valid when an answer is late by as much again (ConfigFence).
 constexpr Duration EndpointWait = Milliseconds(3000);
 constexpr double OperatorWaitShare = 0.4;
-// While other entries rest on this one's proofs, as parts of the bounds on
-// configurations and on leaving endpoints. The operators' table is held, for
-// word of new weights should not wait; the endpoints' is asked at a pace.
-constexpr double ConfigWaitAskedShare = 0.15;
-constexpr double ConfigPaceAskedShare = 0.1;
-constexpr double EndpointPaceAskedShare = 0.3;
-// Knowledge from another entry may be this old: part of the bound on
-// configurations, and so much beyond the pace at which endpoints are read.
+// The same while other entries depend on this one's proofs, as shares of the
+// bounds on configurations and on draining endpoints. Calls for the operators'
+// table are held by the store, since news of new weights should not be delayed;
+// the endpoint table is read at an interval.
+constexpr double ServingConfigWaitShare = 0.15;
+constexpr double ServingConfigPaceShare = 0.1;
+constexpr double ServingEndpointPaceShare = 0.3;
+// Maximum age of data from another entry: a share of the bound on
+// configurations, and for endpoints their read interval plus this margin.
 constexpr double ConfigAgeShare = 0.5;
-constexpr Duration EndpointAgeRoom = Milliseconds(350);
-// The entry says it is not ready when its last proof is older than this part of
-// the operators' bound: callers' keys will soon not be accepted here.
+constexpr Duration EndpointAgeMargin = Milliseconds(350);
+// The entry reports not ready when its last proof is older than this share of
+// the operators' bound on revoked keys: it will soon stop accepting callers'
+// keys.
 constexpr double ReadyShare = 0.6;
-// A planned stop: the balancer asks each second and acts on the second miss.
-constexpr Duration BalancerNotice = Milliseconds(2600);
-constexpr Duration StopPoll = Milliseconds(20);
-// Left over at the end of a planned stop, for the last answers to be written.
-constexpr Duration StopMargin = Milliseconds(600);
-// One entry's part of the operators' slack for repeats: entries do not know
-// their number, so this must hold with as many as are foreseen.
-constexpr double SlackPart = 1.0 / 20;
-constexpr double MostSlack = 5;
+// Planned stop: the balancer checks readiness every second and acts on the
+// second failed check.
+constexpr Duration BalancerDetectionTime = Milliseconds(2600);
+constexpr Duration DrainPollPeriod = Milliseconds(20);
+// Reserved at the end of a planned stop for writing the last answers.
+constexpr Duration DrainMargin = Milliseconds(600);
+// One entry's share of the operators' slack for repeats. Entries do not know
+// how many they are, so the share is that of the largest expected number of
+// entries.
+constexpr double SlackPerEntryShare = 1.0 / 20;
+constexpr double MaxRepeatSlack = 5;
 
-Duration part(Duration Whole, double Share) {
+Duration fractionOf(Duration Whole, double Share) {
   return std::chrono::duration_cast<Duration>(Whole * Share);
 }
 
@@ -57,8 +62,9 @@
   O.Placement_.Zone_ = S.Common_.Zone_;
   O.Budget_.Ratio_ = S.RepeatRatio_;
   O.Budget_.Window_ = S.RepeatWindow_;
-  double Slack = S.RepeatSlack_ * SlackPart;
-  O.Budget_.AlwaysAllowed_ = static_cast<unsigned>(std::min(MostSlack, Slack));
+  double Slack = S.RepeatSlack_ * SlackPerEntryShare;
+  O.Budget_.AlwaysAllowed_ =
+      static_cast<unsigned>(std::min(MaxRepeatSlack, Slack));
   O.RevokeBound_ = S.Common_.RevokeBound_;
   O.Fence_ = ConfigFence::optionsFor(S.Common_.ApplyBound_);
   const EntryPolicy &P = S.Policy_;
@@ -79,17 +85,17 @@
 DirectEntry::State::State(StoreEntrySettings Settings)
     : Settings_(std::move(Settings)),
       Log_({.Process_ = Settings_.Common_.Process_.str()}),
-      Io_("requests", WorkRing),
+      Io_("requests", WorkRingCapacity),
       Store_(Io_.context(), Settings_.Common_.Store_, Codec_),
-      Questions_(*this), Links_(Io_.context(), {}),
+      StatusHandler_(*this), Links_(Io_.context(), {}),
       Core_(coreOptions(Settings_), *this,
             Random(seedOr(Settings_.Common_.RandomSeed_))),
       Callers_(std::make_shared<HttpListener>(Io_.context(), SessionLimits{},
                                               *this)),
       Ready_(std::make_shared<HttpListener>(Io_.context(), SessionLimits{},
-                                            Questions_)),
+                                            StatusHandler_)),
       MetricsServer_(std::make_shared<HttpListener>(
-          Io_.context(), SessionLimits{}, Questions_)) {
+          Io_.context(), SessionLimits{}, StatusHandler_)) {
   Log_.write(LogLine("start")
                  .text("role", "entry")
                  .text("zone", Settings_.Common_.Zone_.str())
@@ -105,8 +111,8 @@
     Notices_ = std::make_unique<EngineNotices>(
         Io_, peerSelf(), std::to_string(Settings_.AgentPort_),
         [this](const EngineUpdate &T) { onEngineUpdate(T); },
-        [this](wire::RowsAskT Question, TableRelay::Reply R) {
-          Source_->ask(std::move(Question), std::move(R), bootNow());
+        [this](wire::RowsAskT Query, TableRelay::Reply R) {
+          Source_->ask(std::move(Query), std::move(R), bootNow());
         },
         [this](AttemptNumber A, const PlaceReply &W) {
           Core_.onPlaceReply(A, W, bootNow());
@@ -133,18 +139,21 @@
   const StoreProcessSettings &Common = Settings_.Common_;
   TableSource::TableSetup Operators;
   Operators.Name_ = platform::OperatorTable;
-  Operators.Wait_ = part(Common.ApplyBound_, OperatorWaitShare);
-  Operators.WaitAsked_ = part(Common.ApplyBound_, ConfigWaitAskedShare);
-  Operators.PaceAsked_ = part(Common.ApplyBound_, ConfigPaceAskedShare);
+  Operators.Wait_ = fractionOf(Common.ApplyBound_, OperatorWaitShare);
+  Operators.WaitWhenServing_ =
+      fractionOf(Common.ApplyBound_, ServingConfigWaitShare);
+  Operators.PaceWhenServing_ =
+      fractionOf(Common.ApplyBound_, ServingConfigPaceShare);
   Operators.ListsWhenBehind_ = true;
-  Operators.MaxAge_ = part(Common.ApplyBound_, ConfigAgeShare);
+  Operators.MaxAge_ = fractionOf(Common.ApplyBound_, ConfigAgeShare);
   TableSource::TableSetup Endpoints;
   Endpoints.Name_ = platform::EndpointTable;
   Endpoints.Wait_ = EndpointWait;
-  Endpoints.Pace_ = part(Common.DrainBound_, EndpointPaceShare);
-  Endpoints.WaitAsked_ = Duration::zero();
-  Endpoints.PaceAsked_ = part(Common.DrainBound_, EndpointPaceAskedShare);
-  Endpoints.MaxAge_ = Endpoints.Pace_ + EndpointAgeRoom;
+  Endpoints.Pace_ = fractionOf(Common.DrainBound_, EndpointPaceShare);
+  Endpoints.WaitWhenServing_ = Duration::zero();
+  Endpoints.PaceWhenServing_ =
+      fractionOf(Common.DrainBound_, ServingEndpointPaceShare);
+  Endpoints.MaxAge_ = Endpoints.Pace_ + EndpointAgeMargin;
   TableSource::Setup S;
   S.Self_ = peerSelf();
   S.PeerListen_ = Settings_.PeerListen_;
@@ -269,12 +278,13 @@
 void DirectEntry::drain() {
   State &S = *State_;
   TimePoint Begun = bootNow();
-  TimePoint Last = Begun + S.Settings_.Common_.StopBound_ - StopMargin;
+  TimePoint Last = Begun + S.Settings_.Common_.StopBound_ - DrainMargin;
   S.Stopping_.store(true);
   S.Log_.write(LogLine("stopping"), true);
-  std::this_thread::sleep_for(BalancerNotice);
-  // What is sent from now on meets a closed port, which its caller sees at
-  // once. A request on a kept connection is refused: it might not end in time.
+  std::this_thread::sleep_for(BalancerDetectionTime);
+  // New connections meet a closed port, which their callers see at once. A
+  // request on a keep-alive connection is refused, since it might not end in
+  // time.
   S.Io_.submit([&S] {
     S.Callers_->stopAccepting();
     S.Core_.stop();
@@ -288,9 +298,9 @@
     });
     if (Answer.get() || bootNow() >= Last)
       break;
-    std::this_thread::sleep_for(StopPoll);
+    std::this_thread::sleep_for(DrainPollPeriod);
   }
-  std::this_thread::sleep_for(StopPoll);
+  std::this_thread::sleep_for(DrainPollPeriod);
 }
 
 } // namespace hawthornroad
--- a/hawthornroad/entry/DirectEntry.h
+++ b/hawthornroad/entry/DirectEntry.h
@@ -1,12 +1,15 @@
-// An entry on a platform whose store holds configuration and endpoints: callers
-// on one side, endpoints themselves on the other, the decisions between.
+// The entry process on a platform whose store holds the configuration and the
+// list of endpoints: it accepts callers' requests, decides on them, and
+// forwards them directly to endpoints.
 //
-//   DirectEntry Entry(StoreEntrySettings::load(File));   // listens from here
-//   on printReady(Entry.readyLine()); Stop.wait(); Entry.drain();
+//   DirectEntry Entry(StoreEntrySettings::load(File));   // opens listeners
+//   printReady(Entry.readyLine());
+//   Stop.wait();
+//   Entry.drain();
 //
-// One thread does the work of requests, from the caller's bytes to the
-// endpoint's: handing a request from thread to thread costs more than deciding
-// on it. A second one writes the log.
+// One thread handles requests from the caller's bytes to the endpoint's, since
+// passing a request between threads costs more than deciding on it. A second
+// thread writes the log.
 
 #ifndef HAWTHORNROAD_ENTRY_DIRECTENTRY_H
 #define HAWTHORNROAD_ENTRY_DIRECTENTRY_H
@@ -27,10 +30,12 @@
   DirectEntry &operator=(const DirectEntry &) = delete;
 
   boost::json::object readyLine() const;
-  // The settings file may have changed.
+  // Reads the settings file again and logs whether it differs from the settings
+  // in force or is refused. The settings in force stay.
   void reload(const std::string &File);
-  // A planned stop: not ready at once; the listener and kept connections stay
-  // until the balancer has noticed; then each ends after its request.
+  // Planned stop; blocks. Readiness is withdrawn at once. The listener and
+  // keep-alive connections stay open until the balancer has detected that; then
+  // the listener closes and each connection ends after its current request.
   void drain();
 
 private:
--- a/hawthornroad/entry/DirectEntryState.h
+++ b/hawthornroad/entry/DirectEntryState.h
@@ -1,10 +1,10 @@
-// The inside of DirectEntry, shared by its parts:
+// Implementation class of DirectEntry, defined in:
 //
-//   DirectEntry.cpp      its life, readiness, metrics
-//   EntryTables.cpp      what the store and the agents tell
-//   EntryCalls.cpp       callers' connections, attempts, their lines in the log
+//   DirectEntry.cpp      start, stop, readiness, metrics
+//   EntryTables.cpp      updates from the store and from agents
+//   EntryCalls.cpp       callers' connections, attempts, their log lines
 //
-// Everything runs on one thread, Io_'s.
+// Everything runs on the thread of Io_.
 
 #ifndef HAWTHORNROAD_ENTRY_DIRECTENTRYSTATE_H
 #define HAWTHORNROAD_ENTRY_DIRECTENTRYSTATE_H
@@ -70,23 +70,23 @@
   PeerNet::Self peerSelf() const;
   void onOperatorCall(bool Ok);
   void onEndpointCall(bool Ok);
-  void takeConfig(const std::string &Text);
+  void applyConfig(const std::string &Text);
   void onEngineUpdate(const EngineUpdate &T);
-  void followEngines(TimePoint Now);
+  void updateWatchedEngines(TimePoint Now);
   bool isReady(TimePoint Now) const;
   void answerReady(ServerSession &S);
   void answerMetrics(ServerSession &S);
   ServerSession *session(CallNumber N) const;
-  std::shared_ptr<ServerSession> release(CallNumber N);
+  std::shared_ptr<ServerSession> takeSession(CallNumber N);
 
   struct Attempt {
     std::shared_ptr<ClientLink> Link_;
     std::string Endpoint_;
   };
-  // Answers questions on the ready and metrics addresses.
-  struct Questions final : SessionHandler {
+  // Answers requests on the readiness and metrics addresses.
+  struct StatusHandler final : SessionHandler {
     State &Owner_;
-    explicit Questions(State &Owner) : Owner_(Owner) {}
+    explicit StatusHandler(State &Owner) : Owner_(Owner) {}
     void onRequest(const std::shared_ptr<ServerSession> &S,
                    InboundRequest R) override {
       if (platform::isReadyQuestion(R))
@@ -105,7 +105,7 @@
   IoThread Io_;
   platform::StoreWire Codec_;
   StoreClient Store_;
-  Questions Questions_;
+  StatusHandler StatusHandler_;
   LinkPool Links_;
   TrafficCore Core_;
   std::shared_ptr<HttpListener> Callers_;
@@ -113,14 +113,14 @@
   std::shared_ptr<HttpListener> MetricsServer_;
   std::unique_ptr<TableSource> Source_;
   std::unique_ptr<EngineNotices> Notices_;
-  std::map<std::string, EngineUpdate> LastTold_;
+  std::map<std::string, EngineUpdate> LastUpdates_;
   std::unordered_map<CallNumber, std::shared_ptr<ServerSession>> Sessions_;
   std::unordered_map<AttemptNumber, Attempt> Attempts_;
   CallNumber NextCall_ = 1;
   TimePoint SweptAt_{};
   bool EndpointsListed_ = false;
-  bool OperatorAway_ = false;
-  bool EndpointAway_ = false;
+  bool IsOperatorTableLost_ = false;
+  bool IsEndpointTableLost_ = false;
   bool WasReady_ = false;
   std::atomic<bool> Stopping_{false};
   std::string CallersAddress_;
--- a/hawthornroad/entry/EngineNotices.cpp
+++ b/hawthornroad/entry/EngineNotices.cpp
@@ -5,8 +5,8 @@
 namespace hawthornroad {
 
 namespace {
-// An agent restarts within a second or so.
-constexpr Duration AskAgain = Milliseconds(1000);
+// An agent restarts within about a second.
+constexpr Duration ResubscribeDelay = Milliseconds(1000);
 
 PeerNet::Limits limits() {
   PeerNet::Limits L;
@@ -17,10 +17,10 @@
 } // namespace
 
 EngineNotices::EngineNotices(IoThread &Io, PeerNet::Self Self,
-                             std::string AgentPort, Handler H, AskHandler A,
-                             PlaceHandler P)
-    : Port_(std::move(AgentPort)), Handler_(std::move(H)),
-      AskHandler_(std::move(A)), PlaceHandler_(std::move(P)) {
+                             std::string AgentPort, UpdateHandler H,
+                             QueryHandler A, PlaceHandler P)
+    : Port_(std::move(AgentPort)), UpdateHandler_(std::move(H)),
+      QueryHandler_(std::move(A)), PlaceHandler_(std::move(P)) {
   PeerNet::Callbacks C;
   C.OnFrame_ = [this](const PeerContext &From, const wire::Frame &Frame) {
     if (const auto *Notice = Frame.body_as_EngineNotice())
@@ -32,14 +32,14 @@
                      .Load_ = {Place->running(), Place->waiting()},
                      .Version_ = Place->version()});
     else if (Frame.body_type() == wire::Body::RowsAsk)
-      onAsk(From, Frame);
+      onQuery(From, Frame);
   };
   C.OnLost_ = [this](const PeerContext &From, const Error &) {
     auto Found = Agents_.find(From.Address_.str());
     if (Found == Agents_.end())
       return;
-    Found->second.AskAt_ = bootNow() + AskAgain;
-    Found->second.IsHeard_ = false;
+    Found->second.SubscribeAt_ = bootNow() + ResubscribeDelay;
+    Found->second.HasReported_ = false;
   };
   Net_ = std::make_unique<PeerNet>(Io, std::move(Self), limits(), std::move(C));
 }
@@ -52,23 +52,23 @@
   T.Version_ = N.version();
   auto Found = Agents_.find(From.Address_.str());
   if (Found != Agents_.end())
-    Found->second.IsHeard_ = true;
-  if (Found != Agents_.end() && Found->second.WantsLoads_)
+    Found->second.HasReported_ = true;
+  if (Found != Agents_.end() && Found->second.IncludesLoad_)
     T.Load_ = EndpointLoad{N.running(), N.waiting()};
-  Handler_(T);
+  UpdateHandler_(T);
 }
 
-void EngineNotices::onAsk(const PeerContext &From, const wire::Frame &Frame) {
+void EngineNotices::onQuery(const PeerContext &From, const wire::Frame &Frame) {
   wire::FrameT Unpacked;
   Frame.UnPackTo(&Unpacked);
-  AskHandler_(std::move(*Unpacked.body.AsRowsAsk()),
-              [this, To = From.Connection_](FrameBuffer F) {
-                Net_->reply(To, std::move(F));
-              });
+  QueryHandler_(std::move(*Unpacked.body.AsRowsAsk()),
+                [this, To = From.Connection_](FrameBuffer F) {
+                  Net_->reply(To, std::move(F));
+                });
 }
 
-void EngineNotices::follow(const std::map<std::string, bool> &Engines,
-                           TimePoint Now) {
+void EngineNotices::setEngines(const std::map<std::string, bool> &Engines,
+                               TimePoint Now) {
   std::map<std::string, bool> Wanted;
   for (const auto &[Engine, Loads] : Engines)
     Wanted[agentOf(Engine)] = Loads;
@@ -77,21 +77,21 @@
   for (const auto &[Address, Loads] : Wanted) {
     auto [Found, New] = Agents_.try_emplace(Address, Agent{Loads, {}});
     if (New)
-      ask(Address, Found->second);
+      subscribe(Address, Found->second);
   }
 }
 
 void EngineNotices::tick(TimePoint Now) {
   for (auto &[Address, A] : Agents_)
-    if (A.AskAt_ && Now >= *A.AskAt_)
-      ask(Address, A);
+    if (A.SubscribeAt_ && Now >= *A.SubscribeAt_)
+      subscribe(Address, A);
 }
 
 bool EngineNotices::askPlace(AttemptNumber A, const std::string &Engine,
                              PlaceKind Kind) {
   std::string Address = agentOf(Engine);
   auto Found = Agents_.find(Address);
-  if (Found == Agents_.end() || !Found->second.IsHeard_)
+  if (Found == Agents_.end() || !Found->second.HasReported_)
     return false;
   wire::PlaceAskT Ask;
   Ask.number = A;
@@ -100,20 +100,21 @@
   return Net_->send(PeerAddress(Address), Lane::Requests, makeFrame(Ask));
 }
 
-void EngineNotices::setNewest(const std::string &Model, std::uint64_t Version) {
-  std::uint64_t &Newest = Newest_[Model];
+void EngineNotices::setNewestVersion(const std::string &Model,
+                                     std::uint64_t Version) {
+  std::uint64_t &Newest = NewestVersions_[Model];
   if (Version <= Newest)
     return;
   Newest = Version;
   for (auto &[Address, A] : Agents_)
-    ask(Address, A);
+    subscribe(Address, A);
 }
 
-void EngineNotices::ask(const std::string &Address, Agent &A) {
-  A.AskAt_.reset();
+void EngineNotices::subscribe(const std::string &Address, Agent &A) {
+  A.SubscribeAt_.reset();
   wire::EngineWatchT Watch;
-  Watch.loads = A.WantsLoads_;
-  for (const auto &[Model, Version] : Newest_) {
+  Watch.loads = A.IncludesLoad_;
+  for (const auto &[Model, Version] : NewestVersions_) {
     auto Named = std::make_unique<wire::NamedVersionT>();
     Named->model = Model;
     Named->version = Version;
--- a/hawthornroad/entry/EngineNotices.h
+++ b/hawthornroad/entry/EngineNotices.h
@@ -1,17 +1,20 @@
-// What agents tell an entry of their engines, as it happens.
+// Subscribes to agents for changes of their engines' state and load.
 //
-//   EngineNotices Notices(Io, Self, AgentPort, [](const EngineUpdate &T) {...},
-//                   [](wire::RowsAskT Question, auto Reply) {...});
-//   Notices.follow({{"10.0.0.7:8601", true}, ...}, Now);  // engines' addresses
+//   EngineNotices Notices(Io, Self, AgentPort,
+//                         [](const EngineUpdate &U) {...},
+//                         [](wire::RowsAskT Query, auto Reply) {...},
+//                         [](AttemptNumber A, const PlaceReply &W) {...});
+//   Notices.setEngines({{"10.0.0.7:8601", true}, ...}, Now);
 //   Notices.tick(Now);
 //
-// The store's list is a second old and says nothing of a load that is about to
-// begin. An entry that knows sends the engine nothing new in time; one that
-// does not has its requests turned away, and each of those costs a repeat.
+// The store's list is up to a second old and does not show that an engine is
+// about to load weights. An entry that is notified stops sending requests to
+// that engine in time; otherwise the engine rejects them, and each rejection
+// costs a repeat.
 //
-// An agent answers on the entry's own connection, so agents need not know the
-// entries, and asks on it for what the store said. A lost connection is asked
-// for anew after AskAgain.
+// An agent answers on the entry's connection, so agents need not know the
+// entries, and sends its queries for the store's tables on it as well. After
+// the loss of a connection the entry subscribes again after ResubscribeDelay.
 
 #ifndef HAWTHORNROAD_ENTRY_ENGINENOTICES_H
 #define HAWTHORNROAD_ENTRY_ENGINENOTICES_H
@@ -32,53 +35,54 @@
   std::string Address_;
   EnginePhase Phase_ = EnginePhase::Serving;
   std::uint64_t Version_ = 0;
-  // Unset when it was not asked for.
+  // Unset when the subscription does not include the load.
   std::optional<EndpointLoad> Load_;
 };
 
 class EngineNotices {
 public:
-  using Handler = std::function<void(const EngineUpdate &)>;
-  using AskHandler = std::function<void(
+  using UpdateHandler = std::function<void(const EngineUpdate &)>;
+  using QueryHandler = std::function<void(
       wire::RowsAskT, std::function<void(FrameBuffer)> Reply)>;
 
   using PlaceHandler = std::function<void(AttemptNumber, const PlaceReply &)>;
 
   EngineNotices(IoThread &Io, PeerNet::Self Self, std::string AgentPort,
-                Handler H, AskHandler A, PlaceHandler P);
+                UpdateHandler H, QueryHandler A, PlaceHandler P);
 
-  // Asks the agent of an engine for a place; false when no agent is connected.
+  // Requests a place from an engine's agent. Returns false when the agent has
+  // not sent anything on its current connection.
   bool askPlace(AttemptNumber A, const std::string &Engine, PlaceKind Kind);
 
-  // The engines to hear of from now on; true: of their load too, which costs a
-  // frame several times a second.
-  void follow(const std::map<std::string, bool> &Engines, TimePoint Now);
+  // Sets the engines to subscribe to, by address. The value says whether
+  // to include their load, which costs a frame several times a second.
+  void setEngines(const std::map<std::string, bool> &Engines, TimePoint Now);
   void tick(TimePoint Now);
-  // A version of a model's weights has been named: agents are told, which do
-  // not follow the store's table themselves.
-  void setNewest(const std::string &Model, std::uint64_t Version);
+  // Reports a newly named version of a model's weights to all agents, which do
+  // not watch the store's table themselves.
+  void setNewestVersion(const std::string &Model, std::uint64_t Version);
 
 private:
   struct Agent {
-    bool WantsLoads_ = false;
-    // When to ask again; unset: the connection stands, or is being made.
-    std::optional<TimePoint> AskAt_;
-    // It has told something over the connection.
-    bool IsHeard_ = false;
+    bool IncludesLoad_ = false;
+    // When to subscribe again; unset while connected or connecting.
+    std::optional<TimePoint> SubscribeAt_;
+    // Whether a notice has arrived on the current connection.
+    bool HasReported_ = false;
   };
-  void ask(const std::string &Address, Agent &A);
+  void subscribe(const std::string &Address, Agent &A);
   std::string agentOf(const std::string &Engine) const {
     return Engine.substr(0, Engine.rfind(':')) + ":" + Port_;
   }
   void onNotice(const PeerContext &From, const wire::EngineNotice &N);
-  void onAsk(const PeerContext &From, const wire::Frame &Frame);
+  void onQuery(const PeerContext &From, const wire::Frame &Frame);
 
   std::string Port_;
-  Handler Handler_;
-  AskHandler AskHandler_;
+  UpdateHandler UpdateHandler_;
+  QueryHandler QueryHandler_;
   PlaceHandler PlaceHandler_;
   // By model.
-  std::map<std::string, std::uint64_t> Newest_;
+  std::map<std::string, std::uint64_t> NewestVersions_;
   std::map<std::string, Agent> Agents_;
   std::unique_ptr<PeerNet> Net_;
 };
--- a/hawthornroad/entry/EntryCalls.cpp
+++ b/hawthornroad/entry/EntryCalls.cpp
@@ -35,7 +35,7 @@
   return Found == Sessions_.end() ? nullptr : Found->second.get();
 }
 
-std::shared_ptr<ServerSession> DirectEntry::State::release(CallNumber N) {
+std::shared_ptr<ServerSession> DirectEntry::State::takeSession(CallNumber N) {
   auto Found = Sessions_.find(N);
   if (Found == Sessions_.end())
     return nullptr;
@@ -46,13 +46,13 @@
 
 void DirectEntry::State::respond(CallNumber N, unsigned Status,
                                  const HeaderFields &Fields, std::string Body) {
-  if (auto S = release(N))
+  if (auto S = takeSession(N))
     S->respond(Status, Fields, std::move(Body));
 }
 
 void DirectEntry::State::refuse(CallNumber N, const Call &C, unsigned Status,
                                 Cause Why, Duration RetryAfter) {
-  auto S = release(N);
+  auto S = takeSession(N);
   if (!S)
     return;
   HeaderFields Fields = platform::refusalHeaders(C);
@@ -75,12 +75,12 @@
 }
 
 void DirectEntry::State::finishStream(CallNumber N) {
-  if (auto S = release(N))
+  if (auto S = takeSession(N))
     S->finish();
 }
 
 void DirectEntry::State::abortStream(CallNumber N) {
-  if (auto S = release(N))
+  if (auto S = takeSession(N))
     S->abort();
 }
 
--- a/hawthornroad/entry/EntryTables.cpp
+++ b/hawthornroad/entry/EntryTables.cpp
@@ -6,13 +6,15 @@
 namespace hawthornroad {
 
 namespace {
-// Before the bound of a version, so that requests already sent have begun.
+// Subtracted from the bound of a version, so that requests already sent have
+// begun before it.
 constexpr Duration VersionMargin = Milliseconds(600);
-// What word of the version and of the taking back may take on their ways.
+// Time allowed for two messages to arrive: the one that names the version, and
+// the one that cancels a request that still waits at an older engine.
 constexpr Duration VersionHardMargin = Milliseconds(200);
-// A version is taken to have been named no longer ago than this: entries that
-// follow another know everything up to a second ago, or read the store.
-constexpr Duration MostNamingAge = Milliseconds(1000);
+// Upper limit on the time since a version was named: an entry's data is at most
+// a second old while it follows another entry; otherwise it reads the store.
+constexpr Duration MaxVersionAge = Milliseconds(1000);
 } // namespace
 
 void DirectEntry::State::onOperatorRows(const TableWatch::Update &U) {
@@ -22,10 +24,10 @@
       continue;
     try {
       if (Row.Key_ == platform::ConfigKey) {
-        takeConfig(Row.Value_);
+        applyConfig(Row.Value_);
       } else if (auto V = platform::decodeVersion(Row.Key_, Row.Value_)) {
         TimePoint Named =
-            earliestChange(Core_.lease().provenAt(), Now, MostNamingAge);
+            earliestChange(Core_.lease().provenAt(), Now, MaxVersionAge);
         TimePoint Bound = Named + Settings_.Common_.VersionBound_;
         if (!Core_.requireVersion(V->Model_, V->Version_, Bound - VersionMargin,
                                   Bound - VersionHardMargin))
@@ -35,11 +37,11 @@
                        .count("version", V->Version_),
                    true);
         if (Notices_)
-          Notices_->setNewest(V->Model_, V->Version_);
+          Notices_->setNewestVersion(V->Model_, V->Version_);
       }
     } catch (const Error &E) {
-      // The store takes only valid texts: one that is not is of a later kind.
-      // What was in force stays.
+      // The store accepts only valid texts, so this one has a newer format. The
+      // configuration in force stays.
       Log_.write(LogLine("config_unreadable")
                      .text("key", Row.Key_)
                      .text("detail", E.what()),
@@ -48,7 +50,7 @@
   }
 }
 
-void DirectEntry::State::takeConfig(const std::string &Text) {
+void DirectEntry::State::applyConfig(const std::string &Text) {
   SharedConfig Config = RoutingConfig::build(platform::decodeConfig(Text));
   bool Taken = Core_.configure(Config, bootNow());
   Log_.write(LogLine("config")
@@ -77,13 +79,13 @@
 void DirectEntry::State::onEndpointRows(const TableWatch::Update &U) {
   TimePoint Now = bootNow();
   EndpointsListed_ = true;
-  std::vector<Endpoint> All;
-  std::vector<EndpointId> Gone;
+  std::vector<Endpoint> Listed;
+  std::vector<EndpointId> Removed;
   for (const StoreRow &Row : U.Rows_) {
     EndpointId Id(Row.Key_);
     if (Row.IsRemoved_) {
       Log_.write(LogLine("endpoint_gone").text("endpoint", Row.Key_));
-      Gone.push_back(Id);
+      Removed.push_back(Id);
       continue;
     }
     try {
@@ -102,10 +104,10 @@
                        .count("version", E.Version_));
       if (!U.IsWhole_)
         Core_.endpoints().changed(E, Now);
-      All.push_back(std::move(E));
+      Listed.push_back(std::move(E));
     } catch (const Error &E) {
-      // Whatever it named before, it names no endpoint now.
-      Gone.push_back(Id);
+      // The row no longer describes an endpoint, so a known one is removed.
+      Removed.push_back(Id);
       Metrics_.count("hawthornroad_endpoint_rows_unreadable_total", {});
       Log_.write(LogLine("endpoint_unreadable")
                      .text("endpoint", Row.Key_)
@@ -113,18 +115,18 @@
     }
   }
   if (U.IsWhole_)
-    Core_.endpoints().listed(All, Now);
+    Core_.endpoints().listed(Listed, Now);
   else
-    Core_.endpoints().removed(Gone, Now);
+    Core_.endpoints().removed(Removed, Now);
   std::set<std::string> Present;
   for (const auto &[Id, Each] : Core_.endpoints().all())
     Present.insert(Id.str());
   Links_.keepOnly(Present);
   Core_.endpointsChanged(Now);
-  followEngines(Now);
+  updateWatchedEngines(Now);
 }
 
-void DirectEntry::State::followEngines(TimePoint Now) {
+void DirectEntry::State::updateWatchedEngines(TimePoint Now) {
   if (!Notices_)
     return;
   std::map<std::string, bool> Engines;
@@ -132,11 +134,11 @@
     if (Each.Endpoint_.HasModel_)
       Engines[Each.Endpoint_.Address_] =
           Each.Endpoint_.Zone_ == Settings_.Common_.Zone_;
-  Notices_->follow(Engines, Now);
+  Notices_->setEngines(Engines, Now);
 }
 
 void DirectEntry::State::onEngineUpdate(const EngineUpdate &T) {
-  EngineUpdate &Last = LastTold_[T.Address_];
+  EngineUpdate &Last = LastUpdates_[T.Address_];
   bool IsAway = T.Phase_ != EnginePhase::Serving;
   if (Last.Phase_ != T.Phase_ || Last.Version_ != T.Version_)
     Log_.write(LogLine("engine_told")
@@ -148,18 +150,18 @@
 }
 
 void DirectEntry::State::onOperatorCall(bool Ok) {
-  if (Ok == !OperatorAway_)
+  if (Ok == !IsOperatorTableLost_)
     return;
-  OperatorAway_ = !Ok;
+  IsOperatorTableLost_ = !Ok;
   Log_.write(LogLine(Ok ? "store_back" : "store_lost")
                  .text("table", platform::OperatorTable),
              true);
 }
 
 void DirectEntry::State::onEndpointCall(bool Ok) {
-  if (Ok == !EndpointAway_)
+  if (Ok == !IsEndpointTableLost_)
     return;
-  EndpointAway_ = !Ok;
+  IsEndpointTableLost_ = !Ok;
   TimePoint Now = bootNow();
   if (Ok)
     Core_.endpoints().storeRestored(Now);
--- a/hawthornroad/entry/TableRelay.h
+++ b/hawthornroad/entry/TableRelay.h
@@ -1,19 +1,20 @@
-// Answers other processes of the zone who ask what the store said.
+// Relays this process's copy of the store's tables to other processes of the
+// zone.
 //
 //   TableRelay R({"op", "servers"});
 //   R.apply("op", Update);  R.prove("op", AsOf);
-//   R.ask(Question, [](FrameBuffer F) {...}, Now);
-//   R.settle(Now);                  // after each of these, and now and then
+//   R.ask(Query, [](FrameBuffer F) {...}, Now);
+//   R.answerDue(Now);     // after each of these, and periodically
 //
-// A question is answered when there are rows that the asker lacks, or when what
-// is known here has been found true ProofStep later than what the asker knows,
-// and after its waiting time in any case. An answer says how old
-// the knowledge is, counted on this process's clock up to the sending, and how
-// long the question was held; the asker reckons from the moment when it asked,
-// so time on the way, or in a frozen process, makes the knowledge older and
-// never younger.
+// A query is a long poll. It is answered when there are rows that the client
+// lacks, or when this copy was confirmed current MinProofAdvance later than the
+// client's, and in any case when its wait time has passed. An answer states the
+// age of the copy, measured on this process's clock up to sending, and how long
+// the query was held. The client counts from the time at which it sent the
+// query, so time in transit or in a frozen process makes the data appear older,
+// never newer.
 //
-// Long values are sent deflated, each deflated once for all askers.
+// Long values are sent deflated; each is deflated once for all clients.
 
 #ifndef HAWTHORNROAD_ENTRY_TABLERELAY_H
 #define HAWTHORNROAD_ENTRY_TABLERELAY_H
@@ -33,61 +34,66 @@
 class TableRelay {
 public:
   using Reply = std::function<void(FrameBuffer)>;
-  // A question is held no longer, whatever it says.
+  // Upper limit on the wait time of a query, whatever it requests.
   static constexpr Duration MaxWait = Seconds(5);
-  // At more askers than a zone has processes the oldest one is answered early.
-  static constexpr std::size_t MaxHeld = 256;
+  // More than the processes of a zone; beyond it the oldest query is answered
+  // early.
+  static constexpr std::size_t MaxPending = 256;
 
   explicit TableRelay(const std::vector<std::string> &Tables);
 
   void apply(const std::string &Table, const TableWatch::Update &U);
   void prove(const std::string &Table, TimePoint AsOf);
-  // Whether this process is without the store.
-  void setAway(bool IsAway) { IsAway_ = IsAway; }
-  // Whether it reads the store itself and bytes have just come in.
+  // Whether this process cannot reach the store.
+  void setStoreUnavailable(bool IsStoreUnavailable) {
+    IsStoreUnavailable_ = IsStoreUnavailable;
+  }
+  // Whether this process reads the store itself and is receiving bytes of an
+  // answer.
   void setReceiving(bool IsReceiving) { IsReceiving_ = IsReceiving; }
-  // The store answered at that moment, this process or the one it follows.
+  // The time of the store's last answer to this process or to its source.
   void reached(TimePoint At) { ReachedAt_ = std::max(ReachedAt_, At); }
 
-  void ask(wire::RowsAskT Question, Reply R, TimePoint Now);
-  void settle(TimePoint Now);
+  void ask(wire::RowsAskT Query, Reply R, TimePoint Now);
+  void answerDue(TimePoint Now);
 
   const RowCopy &copy(const std::string &Table) const;
   std::optional<TimePoint> provenAt(const std::string &Table) const;
-  // Questions answered so far.
   std::uint64_t answered() const { return Answered_; }
-  // Unset: never.
-  std::optional<TimePoint> lastAsked() const { return LastAsked_; }
+  // Unset before the first query.
+  std::optional<TimePoint> lastQueryAt() const { return LastQueryAt_; }
 
 private:
   struct Table {
     RowCopy Copy_;
     std::optional<TimePoint> ProvenAt_;
-    // Long values by key, deflated, with the version of their row.
-    std::map<std::string, std::pair<StoreVersion, std::string>> Short_;
+    // Deflated long values by key, with the version of their row.
+    std::map<std::string, std::pair<StoreVersion, std::string>> Deflated_;
   };
-  struct Held {
-    wire::RowsAskT Question_;
+  struct PendingQuery {
+    wire::RowsAskT Query_;
     Reply Reply_;
-    TimePoint CameAt_;
+    TimePoint ReceivedAt_;
   };
   Table *find(const std::string &Name);
-  bool isDue(const Held &H, TimePoint Now);
-  void answer(const Held &H, TimePoint Now);
+  bool isDue(const PendingQuery &H, TimePoint Now);
+  void answer(const PendingQuery &H, TimePoint Now);
   static std::unique_ptr<wire::RelayedTableT>
-  tell(const wire::TableWantedT &Wanted, Table &T, TimePoint Now);
-  static std::unique_ptr<wire::RelayedRowT> tell(const StoreRow &Row, Table &T);
+  encodeTable(const wire::TableWantedT &Wanted, Table &T, TimePoint Now);
+  static std::unique_ptr<wire::RelayedRowT> encodeRow(const StoreRow &Row,
+                                                      Table &T);
 
   std::map<std::string, Table> Tables_;
-  std::list<Held> Held_;
-  std::optional<TimePoint> LastAsked_;
+  std::list<PendingQuery> Pending_;
+  std::optional<TimePoint> LastQueryAt_;
   std::uint64_t Answered_ = 0;
-  bool IsAway_ = false;
+  bool IsStoreUnavailable_ = false;
   bool IsReceiving_ = false;
   TimePoint ReachedAt_{};
 };
 
-// The rows of an answer; throws Error(Step::Receive) when a value is spoilt.
+// Decodes the rows of an answer. Throws Error(Step::Receive) when a value is
+// corrupt.
 TableWatch::Update decodeRelayed(const wire::RelayedTableT &T);
 
 } // namespace hawthornroad
--- a/hawthornroad/entry/TableSource.cpp
+++ b/hawthornroad/entry/TableSource.cpp
@@ -11,32 +11,31 @@
 namespace hawthornroad {
 
 namespace {
-// The source holds a question this long at most; its own proofs come twice a
-// second.
-constexpr Duration AskWait = Milliseconds(700);
-// Longer without an answer, the source is frozen or cut off.
-constexpr Duration AskLimit = AskWait + Milliseconds(300);
-// Between an answer and the next question: rows that come together are told
-// together.
-constexpr Duration AskPace = Milliseconds(20);
-// Knowledge older than this part of its table's MaxAge is older than usual: a
-// source's proofs are 0.4 to 0.6 of it old (computed from WaitAsked and
-// PaceAsked).
+// How long the source may hold a query. Its own proofs arrive twice a second.
+constexpr Duration QueryWait = Milliseconds(700);
+// A source that does not answer within this time is frozen or cut off.
+constexpr Duration QueryTimeout = QueryWait + Milliseconds(300);
+// Pause between an answer and the next query, so that rows that change together
+// are sent in one answer.
+constexpr Duration QueryInterval = Milliseconds(20);
+// A copy older than this share of its table's MaxAge is older than in normal
+// operation: the proofs of a source are 0.4 to 0.6 of MaxAge old, by the sum of
+// WaitWhenServing_ and PaceWhenServing_.
 constexpr double AgingShare = 0.75;
-// After MaxAge entries begin to read the store one after the other, so that the
-// first who can spares the others the reading; no later than MostRank steps.
-constexpr Duration StaleStep = Milliseconds(100);
-constexpr std::size_t MostRank = 4;
-// This process counts as asked by others for so long after a question.
-constexpr Duration AskedFor = Seconds(3);
-// An answer of the store that takes longer, beyond the time for which it may be
-// held, is logged.
-constexpr Duration SlowCall = Milliseconds(300);
-// Entries of a zone that probe a store that is away: those that the others
-// would rather follow.
-constexpr std::size_t MostProbers = 2;
-
-std::vector<std::string> namesOf(const TableSource::Setup &S) {
+// After MaxAge, entries start to read the store one after the other by rank, so
+// that the first to succeed serves the others. Delays are capped at
+// MaxStaggeredRank steps.
+constexpr Duration TakeoverStagger = Milliseconds(100);
+constexpr std::size_t MaxStaggeredRank = 4;
+// This process counts as serving others for this long after a query.
+constexpr Duration ServingPeriod = Seconds(3);
+// A call to the store that takes longer than its wait time plus this is logged.
+constexpr Duration SlowCallThreshold = Milliseconds(300);
+// How many entries of a zone probe an unavailable store: the first in the order
+// in which the zone's entries choose their source.
+constexpr std::size_t MaxProbers = 2;
+
+std::vector<std::string> tableNames(const TableSource::Setup &S) {
   std::vector<std::string> Out;
   for (const auto &Each : S.Tables_)
     Out.push_back(Each.Name_);
@@ -47,7 +46,7 @@
 TableSource::TableSource(IoThread &Io, Setup S, StoreClient &Store,
                          EventLog &Log, Callbacks C)
     : Io_(Io), Setup_(std::move(S)), Store_(Store), Log_(Log),
-      Callbacks_(std::move(C)), Relay_(namesOf(Setup_)),
+      Callbacks_(std::move(C)), Relay_(tableNames(Setup_)),
       Choice_({}, bootNow()) {
   for (const TableSetup &Each : Setup_.Tables_)
     Tables_.push_back({.Setup_ = Each});
@@ -75,7 +74,7 @@
   O.ListsWhenBehind_ = T.Setup_.ListsWhenBehind_;
   O.Seed_ = Seed;
   StoreWatch::Callbacks C;
-  C.OnUpdate_ = [this, &T](const TableWatch::Update &U) { take(T, U); };
+  C.OnUpdate_ = [this, &T](const TableWatch::Update &U) { applyUpdate(T, U); };
   C.OnCall_ = [this, &T](bool Ok, const TableWatch &W) {
     onStoreCall(T, Ok, W);
   };
@@ -90,7 +89,7 @@
     Each.Watch_ = makeWatch(Each, Seed++);
   if (!Net_) {
     Choice_.setPreferred({}, Now);
-    return follow(Now);
+    return applyChoice(Now);
   }
   std::string Ip = ipOf(Setup_.PeerListen_);
   std::uint16_t Port = Net_->listen(Ip, portOf(Setup_.PeerListen_));
@@ -101,23 +100,23 @@
       Store_, Log_, Setup_.Self_.Zone_, std::move(Self), bootNow,
       [this](std::vector<PeerAddress> Before) {
         Choice_.setPreferred(std::move(Before), bootNow());
-        follow(bootNow());
+        applyChoice(bootNow());
       });
 }
 
 void TableSource::tick(TimePoint Now) {
   if (Zone_)
     Zone_->tick(Now);
-  watchReceiving(Now);
+  updateReceiving(Now);
   probeStore(Now);
   Choice_.tick(Now);
-  if (Asked_.Number_ != 0 && Now - Asked_.SentAt_ >= AskLimit)
-    onSourceLost(Asked_.To_, "silent");
-  leaveOldSource(Now);
-  follow(Now);
-  setRhythm(Now);
-  askSource(Now);
-  Relay_.settle(Now);
+  if (Query_.Number_ != 0 && Now - Query_.SentAt_ >= QueryTimeout)
+    onSourceLost(Query_.To_, "silent");
+  dropAgingSource(Now);
+  applyChoice(Now);
+  adjustPolling(Now);
+  querySource(Now);
+  Relay_.answerDue(Now);
 }
 
 double TableSource::age(const Table &T, TimePoint Now) const {
@@ -135,33 +134,35 @@
   return Out;
 }
 
-void TableSource::leaveOldSource(TimePoint Now) {
+void TableSource::dropAgingSource(TimePoint Now) {
   double Age = greatestAge(Now);
   auto Source = Choice_.source();
   if (Source && Age > AgingShare) {
-    DialAnew_.insert(*Source);
-    Asked_ = {};
+    Reconnect_.insert(*Source);
+    Query_ = {};
     Choice_.onAging(Now);
     if (Zone_)
-      Zone_->lookAgain(Now);
+      Zone_->refreshSoon(Now);
   }
   bool IsSeeking = !Choice_.readsStore() && !Choice_.source();
-  Duration Turn = StaleStep * std::min(Choice_.rank(), MostRank);
+  Duration Turn = TakeoverStagger * std::min(Choice_.rank(), MaxStaggeredRank);
   if (IsSeeking && greatestAge(Now - Turn) > 1 && std::isfinite(Age))
     Choice_.onStale(Now);
 }
 
-void TableSource::watchReceiving(TimePoint Now) {
+void TableSource::updateReceiving(TimePoint Now) {
   if (Receiving_.onBytes(Store_.counters().AnswerBytes_, Now))
     reached(Now);
   Relay_.setReceiving(Choice_.readsStore() && Receiving_.isReceiving(Now));
 }
 
 void TableSource::probeStore(TimePoint Now) {
-  bool IsAway = std::any_of(Tables_.begin(), Tables_.end(),
-                            [](const Table &Each) { return Each.IsAway_; });
-  bool IsProber = Zone_ && Choice_.readsStore() && Choice_.rank() < MostProbers;
-  if (!IsProber || !Probe_.isDue(IsAway, Receiving_.isReceiving(Now), Now))
+  bool IsStoreUnavailable =
+      std::any_of(Tables_.begin(), Tables_.end(),
+                  [](const Table &Each) { return Each.IsStoreUnavailable_; });
+  bool IsProber = Zone_ && Choice_.readsStore() && Choice_.rank() < MaxProbers;
+  if (!IsProber ||
+      !Probe_.isDue(IsStoreUnavailable, Receiving_.isReceiving(Now), Now))
     return;
   Zone_->probe(
       [this, Sent = Probe_.send(Store_.counters().AnswerBytes_, Now)](bool Ok) {
@@ -174,12 +175,13 @@
   reached(bootNow());
   std::uint64_t Received = Store_.counters().AnswerBytes_;
   for (Table &Each : Tables_)
-    if (Each.IsAway_ && Sent.outlives(Each.Watch_->watch().sentAt(), Received))
+    if (Each.IsStoreUnavailable_ &&
+        Sent.outlives(Each.Watch_->watch().sentAt(), Received))
       Each.Watch_->retry();
 }
 
-void TableSource::take(const Table &T, const TableWatch::Update &U) {
-  // What a source tells may be older than what this process has read itself.
+void TableSource::applyUpdate(const Table &T, const TableWatch::Update &U) {
+  // Data from a source may be older than what this process has read itself.
   const RowCopy &Copy = Relay_.copy(T.Setup_.Name_);
   if (Copy.isListed() && U.Version_ < Copy.version())
     return;
@@ -201,7 +203,7 @@
 // ---- Reading the store ------------------------------------------------------
 
 void TableSource::onStoreCall(Table &T, bool Ok, const TableWatch &W) {
-  T.IsAway_ = !Ok;
+  T.IsStoreUnavailable_ = !Ok;
   logStoreCall(T, Ok, W);
   if (!Ok)
     Receiving_.onFailedCall(Store_.counters().AnswerBytes_);
@@ -209,24 +211,25 @@
     reached(bootNow());
   if (auto Proof = W.provenAt(); Ok && Proof)
     prove(T, *Proof);
-  Relay_.setAway(std::any_of(Tables_.begin(), Tables_.end(),
-                             [](const Table &Each) { return Each.IsAway_; }));
+  Relay_.setStoreUnavailable(
+      std::any_of(Tables_.begin(), Tables_.end(),
+                  [](const Table &Each) { return Each.IsStoreUnavailable_; }));
   Callbacks_.OnCall_(T.Setup_.Name_, Ok);
-  Relay_.settle(bootNow());
+  Relay_.answerDue(bootNow());
 }
 
 void TableSource::logStoreCall(Table &T, bool Ok, const TableWatch &W) {
   const TableWatch::Ask &Call = W.current();
-  Duration Took = bootNow() - W.sentAt();
+  Duration Elapsed = bootNow() - W.sentAt();
   std::uint64_t Received = Store_.counters().BytesReceived_;
   std::uint64_t Before = std::exchange(T.ReceivedBefore_, Received);
-  if (Ok && Took < Call.Wait_ + SlowCall)
+  if (Ok && Elapsed < Call.Wait_ + SlowCallThreshold)
     return;
   Log_.write(LogLine("store_call")
                  .text("table", T.Setup_.Name_)
                  .flag("ok", Ok)
                  .flag("listing", Call.IsListing_)
-                 .millis("took_ms", Took)
+                 .millis("took_ms", Elapsed)
                  .millis("wait_ms", Call.Wait_)
                  .count("received_bytes", Received - Before),
              true);
@@ -238,7 +241,7 @@
   return Choice_.readsStore() ? "store" : "none";
 }
 
-void TableSource::follow(TimePoint Now) {
+void TableSource::applyChoice(TimePoint Now) {
   bool IsSeeking = !Choice_.source() && !Choice_.readsStore();
   std::string Name = IsSeeking ? LoggedSource_ : sourceName();
   if (Name != LoggedSource_) {
@@ -251,10 +254,10 @@
     LoggedSource_ = Name;
   }
   if (!Choice_.readsStore())
-    Relay_.setAway(false);
+    Relay_.setStoreUnavailable(false);
   for (Table &Each : Tables_) {
     if (!Choice_.readsStore()) {
-      Each.IsAway_ = false;
+      Each.IsStoreUnavailable_ = false;
       if (!Each.Watch_->isPaused())
         Each.Watch_->pause();
     } else if (Each.Watch_->isPaused()) {
@@ -268,39 +271,39 @@
   }
 }
 
-// Others rest on this process's proofs, which must then come oftener than its
-// own needs ask for.
-void TableSource::setRhythm(TimePoint Now) {
-  auto Last = Relay_.lastAsked();
-  bool IsAsked = Last && Now - *Last < AskedFor;
-  if (IsAsked == WasAsked_)
+// While other entries depend on this process's proofs, it must get them more
+// often than for its own needs.
+void TableSource::adjustPolling(TimePoint Now) {
+  auto Last = Relay_.lastQueryAt();
+  bool IsServing = Last && Now - *Last < ServingPeriod;
+  if (IsServing == WasServing_)
     return;
-  WasAsked_ = IsAsked;
+  WasServing_ = IsServing;
   for (Table &Each : Tables_) {
     const TableSetup &Of = Each.Setup_;
-    Each.Watch_->setRhythm(IsAsked ? Of.WaitAsked_ : Of.Wait_,
-                           IsAsked ? Of.PaceAsked_ : Of.Pace_);
-    // A question that the store holds for longer is given up for a new one.
+    Each.Watch_->setRhythm(IsServing ? Of.WaitWhenServing_ : Of.Wait_,
+                           IsServing ? Of.PaceWhenServing_ : Of.Pace_);
+    // A call that the store would hold for longer is replaced by a new one.
     const TableWatch::Ask &Call = Each.Watch_->watch().current();
-    bool IsHeldLonger = !Call.IsListing_ && Call.Wait_ > Of.WaitAsked_;
-    if (IsAsked && !Each.Watch_->isPaused() && IsHeldLonger)
+    bool IsHeldLonger = !Call.IsListing_ && Call.Wait_ > Of.WaitWhenServing_;
+    if (IsServing && !Each.Watch_->isPaused() && IsHeldLonger)
       Each.Watch_->resume(Relay_.copy(Of.Name_).version());
   }
 }
 
-// ---- Asking another entry ---------------------------------------------------
+// ---- Querying another entry -------------------------------------------------
 
-void TableSource::askSource(TimePoint Now) {
-  if (!Net_ || Asked_.Number_ != 0 || Now < AskAt_)
+void TableSource::querySource(TimePoint Now) {
+  if (!Net_ || Query_.Number_ != 0 || Now < NextQueryAt_)
     return;
   bool IsFresh = greatestAge(Now) <= 1;
-  auto To = Choice_.next(IsFresh, Now);
-  if (!To)
+  auto Target = Choice_.next(IsFresh, Now);
+  if (!Target)
     return;
-  // A late reader takes a part of the link that the source may need, so it asks
-  // for the source's state without waiting.
+  // A stale entry that reads the store takes bandwidth that the source may
+  // need, so it queries the source without a wait time.
   Duration Wait =
-      Choice_.readsStore() && !IsFresh ? Duration::zero() : Duration(AskWait);
+      Choice_.readsStore() && !IsFresh ? Duration::zero() : Duration(QueryWait);
   wire::RowsAskT Q;
   Q.number = NextNumber_++;
   Q.wait_ms = static_cast<std::uint32_t>(Wait / Milliseconds(1));
@@ -317,30 +320,30 @@
                                                   std::chrono::microseconds(1));
     Q.tables.push_back(std::move(Wanted));
   }
-  Asked_ = {Q.number, *To, Now};
+  Query_ = {Q.number, *Target, Now};
   FrameBuffer Frame = makeFrame(std::move(Q));
-  bool IsSent = DialAnew_.erase(*To) != 0
-                    ? Net_->sendFresh(*To, Lane::Control, Frame)
-                    : Net_->send(*To, Lane::Control, Frame);
+  bool IsSent = Reconnect_.erase(*Target) != 0
+                    ? Net_->sendFresh(*Target, Lane::Control, Frame)
+                    : Net_->send(*Target, Lane::Control, Frame);
   if (!IsSent)
-    onSourceLost(*To, "not sent");
+    onSourceLost(*Target, "not sent");
 }
 
-void TableSource::ask(wire::RowsAskT Question, TableRelay::Reply R,
+void TableSource::ask(wire::RowsAskT Query, TableRelay::Reply R,
                       TimePoint Now) {
-  Relay_.ask(std::move(Question), std::move(R), Now);
-  setRhythm(Now);
-  Relay_.settle(Now);
+  Relay_.ask(std::move(Query), std::move(R), Now);
+  adjustPolling(Now);
+  Relay_.answerDue(Now);
 }
 
 void TableSource::onFrame(const PeerContext &From, const wire::Frame &Frame) {
   wire::FrameT Unpacked;
   Frame.UnPackTo(&Unpacked);
-  if (auto *Question = Unpacked.body.AsRowsAsk())
+  if (auto *Query = Unpacked.body.AsRowsAsk())
     ask(
-        std::move(*Question),
-        [this, To = From.Connection_](FrameBuffer F) {
-          Net_->reply(To, std::move(F));
+        std::move(*Query),
+        [this, Target = From.Connection_](FrameBuffer F) {
+          Net_->reply(Target, std::move(F));
         },
         bootNow());
   else if (const auto *Answer = Unpacked.body.AsRowsAnswer())
@@ -349,64 +352,64 @@
 
 void TableSource::onAnswer(const PeerAddress &From,
                            const wire::RowsAnswerT &A) {
-  if (A.number != Asked_.Number_)
+  if (A.number != Query_.Number_)
     return;
   TimePoint Now = bootNow();
-  AskAt_ = Now + AskPace;
-  // The source had the question no sooner than it was sent.
-  reached(Asked_.SentAt_ + std::chrono::microseconds(A.held_us) -
+  NextQueryAt_ = Now + QueryInterval;
+  // The source received the query no earlier than it was sent.
+  reached(Query_.SentAt_ + std::chrono::microseconds(A.held_us) -
           std::chrono::microseconds(A.reached_age_us));
   bool IsFresh = !A.away;
   bool WasFresh = greatestAge(Now) <= 1;
   try {
     for (Table &Each : Tables_) {
-      auto Told =
+      auto Relayed =
           std::find_if(A.tables.begin(), A.tables.end(), [&](const auto &T) {
             return T->table == Each.Setup_.Name_;
           });
-      bool IsTold = Told != A.tables.end();
-      IsFresh &= IsTold &&
-                 takeTable(Each, **Told, std::chrono::microseconds(A.held_us));
+      bool IsRelayed = Relayed != A.tables.end();
+      IsFresh &= IsRelayed && applyTable(Each, **Relayed,
+                                         std::chrono::microseconds(A.held_us));
     }
   } catch (const Error &E) {
     return onSourceLost(From, E.what());
   }
-  Question Was = std::exchange(Asked_, Question{});
+  Query Was = std::exchange(Query_, Query{});
   Choice_.onAnswer(Was.To_, sourceHealth(IsFresh, A.receiving), WasFresh, Now);
   if (IsFresh)
     for (const Table &Each : Tables_)
       Callbacks_.OnCall_(Each.Setup_.Name_, true);
-  follow(Now);
-  Relay_.settle(Now);
+  applyChoice(Now);
+  Relay_.answerDue(Now);
 }
 
-bool TableSource::takeTable(Table &T, const wire::RelayedTableT &R,
-                            Duration Held) {
-  // The source had the question no sooner than it was sent.
-  TimePoint AsOf = Asked_.SentAt_ + Held - std::chrono::microseconds(R.age_us);
+bool TableSource::applyTable(Table &T, const wire::RelayedTableT &R,
+                             Duration Held) {
+  // The source received the query no earlier than it was sent.
+  TimePoint AsOf = Query_.SentAt_ + Held - std::chrono::microseconds(R.age_us);
   TableWatch::Update U = decodeRelayed(R);
   const RowCopy &Copy = Relay_.copy(T.Setup_.Name_);
   bool IsUsable = U.IsWhole_ || Copy.isListed();
   if (!IsUsable)
     return false;
-  take(T, U);
+  applyUpdate(T, U);
   prove(T, AsOf);
   return age(T, bootNow()) <= AgingShare;
 }
 
 void TableSource::onSourceLost(const PeerAddress &From, std::string_view Why) {
-  if (Asked_.Number_ == 0 || From != Asked_.To_)
+  if (Query_.Number_ == 0 || From != Query_.To_)
     return;
   TimePoint Now = bootNow();
   Log_.write(
       LogLine("source_failed").text("source", From.str()).text("why", Why));
-  Asked_ = {};
-  AskAt_ = Now + AskPace;
-  DialAnew_.insert(From);
+  Query_ = {};
+  NextQueryAt_ = Now + QueryInterval;
+  Reconnect_.insert(From);
   Choice_.onFailure(From, Now);
   if (Zone_)
-    Zone_->lookAgain(Now);
-  follow(Now);
+    Zone_->refreshSoon(Now);
+  applyChoice(Now);
 }
 
 } // namespace hawthornroad
--- a/hawthornroad/entry/TableSource.h
+++ b/hawthornroad/entry/TableSource.h
@@ -1,22 +1,24 @@
-// What an entry knows of the store's two tables, and where it has it from: the
-// store, or another entry of its zone.
+// Keeps an entry's copy of the store's two tables current, from the store
+// itself or from another entry of its zone (the source).
 //
 //   TableSource S(Io, Setup, Store, Log, Callbacks);
 //   S.start();
 //   S.tick(Now);
-//   S.ask(Question, Reply, Now);      // another process asks this one
+//   S.ask(Query, Reply, Now);      // a query from another process
 //
-// One entry of a zone reads the store (store/SourceChoice); the others ask it
-// and are answered within milliseconds of each change (entry/TableRelay). What
-// this buys: a table's change crosses the link between two regions once and not
-// once an entry, and the store is called by one entry of a zone.
+// One entry of a zone reads the store (store/SourceChoice). The others, its
+// followers, query it by long polls, which are answered within milliseconds of
+// each change (entry/TableRelay). A change of a table thus crosses the link
+// between two regions once instead of once per entry, and only one entry of a
+// zone calls the store.
 //
-// Bounds. What a follower knows of a table is never older than the table's
-// MaxAge without its reading the store itself. MaxAge is half of the bound that
-// operators set on configurations, and the pace of reading with some room on
-// endpoints, so the rest is left for that reading. Ages are counted from the
-// follower's own questions on a clock that goes on while the VM is suspended.
-// From AgingShare of MaxAge on another source is sought.
+// Bounds: a follower whose copy of a table is older than the table's MaxAge
+// reads the store itself. MaxAge is half of the operators' bound for
+// configurations, and the read interval plus a margin for endpoints, so the
+// rest of each bound is left for that read. Ages are counted from the time at
+// which the follower sent its query, on a clock that also runs while the VM is
+// suspended. When a copy is older than AgingShare of MaxAge, the follower looks
+// for another source.
 
 #ifndef HAWTHORNROAD_ENTRY_TABLESOURCE_H
 #define HAWTHORNROAD_ENTRY_TABLESOURCE_H
@@ -35,20 +37,21 @@
 public:
   struct TableSetup {
     std::string Name_;
-    // While nobody asks: how long the store may hold a question, and the pace.
+    // While no other entry queries this one: how long the store may hold a
+    // call, and the pause between calls.
     Duration Wait_ = Milliseconds(2000);
     Duration Pace_ = Duration::zero();
-    // The same while others rest on this entry's knowledge: its proofs are then
-    // up to the sum of the two old.
-    Duration WaitAsked_ = Milliseconds(300);
-    Duration PaceAsked_ = Milliseconds(200);
+    // The same while other entries depend on this one's copy; its proofs are
+    // then at most as old as the sum of the two.
+    Duration WaitWhenServing_ = Milliseconds(300);
+    Duration PaceWhenServing_ = Milliseconds(200);
     bool ListsWhenBehind_ = false;
-    // Older knowledge is too old to rest on.
+    // Maximum age of the copy; an older one is stale.
     Duration MaxAge_ = Milliseconds(1000);
   };
   struct Setup {
     PeerNet::Self Self_;
-    // Empty: this entry neither asks others nor is asked.
+    // Empty: this entry neither sends nor receives queries.
     std::string PeerListen_;
     double LinkMbps_ = 0;
     std::uint64_t Seed_ = 1;
@@ -57,11 +60,11 @@
   struct Callbacks {
     std::function<void(const std::string &Table, const TableWatch::Update &)>
         OnRows_;
-    // All that the store had acknowledged by AsOf is known.
+    // The copy holds all writes that the store had acknowledged by AsOf.
     std::function<void(const std::string &Table, TimePoint AsOf)> OnProof_;
-    // The store answered at that moment, this process or its source.
+    // The store answered this process or its source at that time.
     std::function<void(TimePoint At)> OnReached_;
-    // Whether the store was reached, by oneself or by the source.
+    // Whether this process or its source reached the store.
     std::function<void(const std::string &Table, bool Ok)> OnCall_;
   };
 
@@ -69,13 +72,13 @@
               Callbacks C);
   ~TableSource();
 
-  // On the IoThread, as all that follows.
+  // To be called on the IoThread, as the functions below.
   void start();
   void tick(TimePoint Now);
-  void ask(wire::RowsAskT Question, TableRelay::Reply R, TimePoint Now);
+  void ask(wire::RowsAskT Query, TableRelay::Reply R, TimePoint Now);
   // Whether this entry reads the store itself.
   bool readsStore() const { return Choice_.readsStore(); }
-  // The address of the entry that it follows, "store" or "none"; for the log.
+  // The address of the source, "store" or "none"; for the log.
   std::string sourceName() const;
   std::uint64_t answered() const { return Relay_.answered(); }
 
@@ -83,33 +86,35 @@
   struct Table {
     TableSetup Setup_;
     std::unique_ptr<StoreWatch> Watch_;
-    bool IsAway_ = false;
-    // Bytes received from the store, of all tables, up to its last answer.
+    bool IsStoreUnavailable_ = false;
+    // Bytes received from the store for all tables up to this table's last
+    // answer.
     std::uint64_t ReceivedBefore_ = 0;
   };
   std::unique_ptr<StoreWatch> makeWatch(Table &T, std::uint64_t Seed);
   void onStoreCall(Table &T, bool Ok, const TableWatch &W);
   void logStoreCall(Table &T, bool Ok, const TableWatch &W);
   void onFrame(const PeerContext &From, const wire::Frame &Frame);
-  void askSource(TimePoint Now);
+  void querySource(TimePoint Now);
   void onAnswer(const PeerAddress &From, const wire::RowsAnswerT &A);
-  bool takeTable(Table &T, const wire::RelayedTableT &R, Duration Held);
+  bool applyTable(Table &T, const wire::RelayedTableT &R, Duration Held);
   void onSourceLost(const PeerAddress &From, std::string_view Why);
-  void take(const Table &T, const TableWatch::Update &U);
+  void applyUpdate(const Table &T, const TableWatch::Update &U);
   void prove(const Table &T, TimePoint AsOf);
   void reached(TimePoint At);
-  // In units of its MaxAge; above 1: too old to rest on.
+  // As a fraction of the table's MaxAge; above 1 the copy is stale.
   double age(const Table &T, TimePoint Now) const;
   double greatestAge(TimePoint Now) const;
-  void leaveOldSource(TimePoint Now);
-  void watchReceiving(TimePoint Now);
-  // Without the store, the first entries of the zone find its return by short
-  // calls of their own, beside those that wait for their time limit.
+  void dropAgingSource(TimePoint Now);
+  void updateReceiving(TimePoint Now);
+  // While the store is unavailable, the first entries of the zone detect its
+  // return by short calls, beside the calls that wait for their time limit.
   void probeStore(TimePoint Now);
   void onProbe(const StoreProbe::Sent &Sent);
-  // Starts or stops reading the store, as the choice says, and logs a change.
-  void follow(TimePoint Now);
-  void setRhythm(TimePoint Now);
+  // Starts or stops reading the store according to Choice_, and logs a change
+  // of the source.
+  void applyChoice(TimePoint Now);
+  void adjustPolling(TimePoint Now);
 
   IoThread &Io_;
   Setup Setup_;
@@ -121,19 +126,20 @@
   SourceChoice Choice_;
   std::unique_ptr<PeerNet> Net_;
   std::unique_ptr<ZoneEntries> Zone_;
-  // The question under way; number 0: none.
-  struct Question {
+  // The outstanding query; number 0 means none.
+  struct Query {
     std::uint64_t Number_ = 0;
     PeerAddress To_;
     TimePoint SentAt_;
   };
-  Question Asked_;
+  Query Query_;
   std::uint64_t NextNumber_ = 1;
-  TimePoint AskAt_{};
-  // The last question to it failed: the connection may be silent.
-  std::set<PeerAddress> DialAnew_;
+  TimePoint NextQueryAt_{};
+  // Sources whose last query failed or whose data is aging. Their connection
+  // may be dead without notice, so the next query opens a new one.
+  std::set<PeerAddress> Reconnect_;
   std::string LoggedSource_ = "none";
-  bool WasAsked_ = false;
+  bool WasServing_ = false;
   ReceiveMonitor Receiving_;
   StoreProbe Probe_;
 };
--- a/hawthornroad/entry/ZoneEntries.cpp
+++ b/hawthornroad/entry/ZoneEntries.cpp
@@ -8,17 +8,16 @@
 namespace hawthornroad {
 
 namespace {
-// This product's own table.
+// The table of presence rows, which only this system uses.
 constexpr std::string_view PresenceTable = "entries";
-// Entries that start with this one have written their rows by then.
-constexpr Duration SecondLook = Milliseconds(1500);
-// New entries ask the older ones, not the other way round, so a list that is
-// old costs at most a detour. The spread keeps processes that started together
-// apart.
-constexpr Duration LookAgainAfter = Seconds(30);
-constexpr Duration AfterFailure = Milliseconds(1000);
-// Not oftener, whatever happens.
-constexpr Duration LeastPause = Milliseconds(5000);
+// Entries that start together have written their rows within this time.
+constexpr Duration SecondListingDelay = Milliseconds(1500);
+// New entries query older ones, not the reverse, so an outdated list costs at
+// most an indirect path.
+constexpr Duration ListingInterval = Seconds(30);
+constexpr Duration ListingRetryDelay = Milliseconds(1000);
+// Minimum time between two listings, also when refreshSoon() is called.
+constexpr Duration MinListingInterval = Milliseconds(5000);
 } // namespace
 
 std::string encodePresence(const ZoneEntry &E) {
@@ -34,16 +33,16 @@
   flatbuffers::Verifier Verifier(
       reinterpret_cast<const std::uint8_t *>(Value.data()), Value.size());
   if (!wire::VerifyFrameBuffer(Verifier))
-    throw Error(Step::Table, "", "not a presence of an entry");
+    throw Error(Step::Table, "", "value is not an entry's presence row");
   const auto *P = wire::GetFrame(Value.data())->body_as_EntryPresence();
   if (P == nullptr)
-    throw Error(Step::Table, "", "not a presence of an entry");
+    throw Error(Step::Table, "", "value is not an entry's presence row");
   return {P->process()->str(), PeerAddress(P->address()->str()),
           P->link_mbps()};
 }
 
 void listPresences(StoreClient &Store, EventLog &Log,
-                   const AvailabilityZone &Zone, PresencesDone D) {
+                   const AvailabilityZone &Zone, PresencesHandler D) {
   // Keys are ZONE/PROCESS; '0' follows '/'.
   Store.list(std::string(PresenceTable), Zone.str() + "/", Zone.str() + "0",
              [&Log, D = std::move(D)](const StoreReply &R) {
@@ -64,8 +63,8 @@
              });
 }
 
-std::vector<PeerAddress> entriesBefore(const ZoneEntry &Self,
-                                       std::vector<ZoneEntry> All) {
+std::vector<PeerAddress> precedingEntries(const ZoneEntry &Self,
+                                          std::vector<ZoneEntry> All) {
   auto ComesBefore = [](const ZoneEntry &A, const ZoneEntry &B) {
     if (A.LinkMbps_ != B.LinkMbps_)
       return A.LinkMbps_ > B.LinkMbps_;
@@ -76,15 +75,15 @@
   for (const ZoneEntry &Each : All) {
     if (Each.Process_ == Self.Process_ || !ComesBefore(Each, Self))
       continue;
-    // An address that was this one's predecessor's.
+    // The row of an earlier process that had this entry's address.
     if (Each.Address_ != Self.Address_)
       Out.push_back(Each.Address_);
   }
   return Out;
 }
 
-Duration nextLookAfter(bool WasFirst) {
-  return WasFirst ? SecondLook : LookAgainAfter;
+Duration nextListingDelay(bool WasFirst) {
+  return WasFirst ? SecondListingDelay : ListingInterval;
 }
 
 ZoneEntries::ZoneEntries(StoreClient &Store, EventLog &Log,
@@ -96,21 +95,21 @@
 ZoneEntries::~ZoneEntries() { *Alive_ = false; }
 
 void ZoneEntries::tick(TimePoint Now) {
-  if (!UnderWay_ && Now >= ListAt_)
+  if (!IsListing_ && Now >= ListAt_)
     list();
 }
 
-void ZoneEntries::lookAgain(TimePoint Now) {
-  ListAt_ = std::min(ListAt_, std::max(Now, ListedAt_ + LeastPause));
+void ZoneEntries::refreshSoon(TimePoint Now) {
+  ListAt_ = std::min(ListAt_, std::max(Now, ListedAt_ + MinListingInterval));
 }
 
 void ZoneEntries::list() {
-  UnderWay_ = true;
+  IsListing_ = true;
   listPresences(Store_, Log_, Zone_, [this, Alive = Alive_](auto Entries) {
     if (!*Alive)
       return;
-    UnderWay_ = false;
-    ListAt_ = Clock_() + AfterFailure;
+    IsListing_ = false;
+    ListAt_ = Clock_() + ListingRetryDelay;
     if (Entries)
       onEntries(std::move(*Entries));
   });
@@ -119,10 +118,10 @@
 void ZoneEntries::onEntries(std::vector<ZoneEntry> All) {
   bool IsFirst = ListedAt_ == TimePoint();
   ListedAt_ = Clock_();
-  ListAt_ = ListedAt_ + nextLookAfter(IsFirst);
+  ListAt_ = ListedAt_ + nextListingDelay(IsFirst);
   if (std::find(All.begin(), All.end(), Self_) == All.end())
     write();
-  Handler_(entriesBefore(Self_, std::move(All)));
+  Handler_(precedingEntries(Self_, std::move(All)));
 }
 
 void ZoneEntries::probe(std::function<void(bool Ok)> Done) {
@@ -137,8 +136,8 @@
   StoreTransaction T;
   T.Puts_.push_back(
       {std::string(PresenceTable), ownKey(), encodePresence(Self_)});
-  // Without its row others do not find this entry; the next listing shows that
-  // and it is written again.
+  // If the write fails, other entries do not find this one; the next listing
+  // lacks the row and it is written again.
   Store_.write(T, [this, Alive = Alive_](const StoreReply &R) {
     const auto *Failure = std::get_if<StoreFailure>(&R);
     if (*Alive && Failure != nullptr)
--- a/hawthornroad/entry/ZoneEntries.h
+++ b/hawthornroad/entry/ZoneEntries.h
@@ -1,17 +1,17 @@
-// The entries of one zone, as their rows in the store tell, and the order in
-// which they are asked.
+// Lists the entries of one zone by their presence rows in the store, and gives
+// the order in which they are used as sources.
 //
 //   ZoneEntries Z(Store, Log, Zone, Self, Clock, [](auto Before) {...});
-//   Z.lookAgain(Now);   // one of those before this one was not there
+//   Z.refreshSoon(Now);   // a preceding entry did not answer
 //   Z.tick(Now);
 //
-// An entry writes its row once, when it starts and the row is not there yet. A
-// row outlives its process: a source that does not answer is passed over, which
-// costs one refused connection now and then, and nothing has to be renewed or
-// removed (each write is a call).
+// An entry writes its row when a listing, the first one at its start, lacks it.
+// Rows are neither renewed nor removed, since each write is a call to the
+// store, so a row outlives its process. A source that does not answer is
+// skipped, which costs an occasional refused connection.
 //
-// Order: wider links first, then by name. The first one passes each change on
-// to all others, so it should be one of the strong VMs.
+// Order: higher link bandwidth first, then by name. The first entry relays each
+// change to all others, so it should run on a VM with a fast link.
 
 #ifndef HAWTHORNROAD_ENTRY_ZONEENTRIES_H
 #define HAWTHORNROAD_ENTRY_ZONEENTRIES_H
@@ -34,29 +34,29 @@
   bool operator==(const ZoneEntry &) const = default;
 };
 
-// Of a row's value; encodes what an entry writes of itself.
+// The value of an entry's presence row.
 std::string encodePresence(const ZoneEntry &E);
-// Throws Error(Step::Table) when the value is not a presence.
+// Throws Error(Step::Table) when the value is not a presence row's.
 ZoneEntry decodePresence(const std::string &Value);
 
-// The entries of a zone that have said where they can be asked. Rows that
-// cannot be read are logged and left out. Unset: the store did not answer.
-using PresencesDone =
+// Lists the entries of a zone that have a presence row. Unreadable rows are
+// logged and skipped. The handler gets nullopt when the store did not answer.
+using PresencesHandler =
     std::function<void(std::optional<std::vector<ZoneEntry>>)>;
 void listPresences(StoreClient &Store, EventLog &Log,
-                   const AvailabilityZone &Zone, PresencesDone D);
+                   const AvailabilityZone &Zone, PresencesHandler D);
 
-// The addresses of those that come before Self, first ones first.
-std::vector<PeerAddress> entriesBefore(const ZoneEntry &Self,
-                                       std::vector<ZoneEntry> All);
+// The addresses of the entries that precede Self, in order.
+std::vector<PeerAddress> precedingEntries(const ZoneEntry &Self,
+                                          std::vector<ZoneEntry> All);
 
-// When to list the zone's entries again. After the first time soon, whatever
-// that showed: it shows only those that had written their rows by then, and an
-// entry's index in the whole list decides whether it reads the store itself
-// when its source fails. Eleven entries that each knew of two before them all
-// took themselves for backups, read a configuration of 252 KB together, and had
-// the next one 7 s later.
-Duration nextLookAfter(bool WasFirst);
+// The delay until the next listing of the zone's entries. It is short after the
+// first listing, which shows only entries that had written their rows by then;
+// an entry's index in the full list decides whether it reads the store itself
+// when its source fails. With incomplete lists, eleven entries that each knew
+// two preceding ones all acted as backups, read a configuration of 252 KB at
+// the same time, and received the next one 7 s later.
+Duration nextListingDelay(bool WasFirst);
 
 class ZoneEntries {
 public:
@@ -67,10 +67,10 @@
   ~ZoneEntries();
 
   void tick(TimePoint Now);
-  // Rows may be missing or their owners gone.
-  void lookAgain(TimePoint Now);
-  // Asks the store for this entry's own row: a few hundred bytes that show
-  // whether it answers.
+  // Brings the next listing forward: rows may be missing or their owners gone.
+  void refreshSoon(TimePoint Now);
+  // Reads this entry's own row, a few hundred bytes, to see whether the store
+  // answers.
   void probe(std::function<void(bool Ok)> Done);
 
 private:
@@ -85,11 +85,11 @@
   ZoneEntry Self_;
   std::function<TimePoint()> Clock_;
   Handler Handler_;
-  bool UnderWay_ = false;
-  // The first listing is asked for at once.
+  bool IsListing_ = false;
+  // The first listing starts at once.
   TimePoint ListAt_{};
   TimePoint ListedAt_{};
-  // Answers that come after the end of this object find it gone.
+  // Lets answers that arrive after this object's destruction detect it.
   std::shared_ptr<bool> Alive_ = std::make_shared<bool>(true);
 };
 
--- a/tests/integration/StoreEntryTest.cpp
+++ b/tests/integration/StoreEntryTest.cpp
@@ -1,4 +1,4 @@
-// The entry of a platform with a store, as a real process.
+// The entry process on a platform with a store.
 
 #include "tests/integration/PlatformFixture.h"
 
@@ -16,8 +16,8 @@
 } // namespace
 
 TEST_CASE_METHOD(PlatformFixture,
-                 "store entry, before it has a configuration, is not ready and "
-                 "refuses as not run",
+                 "store entry, without a configuration, is not ready and "
+                 "refuses requests as not run",
                  "[store-entry]") {
   startEntry();
   REQUIRE_FALSE(isReady());
@@ -30,8 +30,8 @@
 }
 
 TEST_CASE_METHOD(PlatformFixture,
-                 "store entry, given a request, passes it on by the "
-                 "customer's name and never the key",
+                 "store entry, given a request, forwards it with the "
+                 "customer's name and without the key",
                  "[store-entry]") {
   configure();
   startEntry();
@@ -50,8 +50,8 @@
 }
 
 TEST_CASE_METHOD(PlatformFixture,
-                 "store entry, when the configuration changes, follows at once "
-                 "and also after the store has dropped its history",
+                 "store entry, when the configuration changes, applies it at "
+                 "once, also after the store has dropped its history",
                  "[store-entry]") {
   configure();
   startEntry();
@@ -71,12 +71,12 @@
              "the route is back", Milliseconds(2500));
 }
 
-// The store goes silent: a key may be taken away there without this entry's
-// hearing of it. From the bound on no request with a key may run; the entry
-// says so to the balancer before.
+// While the store does not answer, a key may be revoked without this entry
+// learning of it. After the bound no request with a key may run; the entry
+// reports not ready to the balancer before that.
 TEST_CASE_METHOD(PlatformFixture,
-                 "store entry, when the store goes silent, takes no keys after "
-                 "the bound and serves again when it is back",
+                 "store entry, when the store goes silent, accepts no keys "
+                 "after the bound and serves again when it is back",
                  "[store-entry]") {
   configure();
   startEntry();
@@ -86,7 +86,7 @@
   auto Since = std::chrono::steady_clock::now();
   eventually([&] { return call("/safe/1").Status_ == 503; }, "keys are refused",
              Milliseconds(4500));
-  // A proof made just before the silence is good for the bound at most.
+  // A proof from just before the outage is valid for at most the bound.
   REQUIRE(std::chrono::steady_clock::now() - Since <= Milliseconds(4500));
   REQUIRE_FALSE(isReady());
   int Runs = A_.runs() + B_.runs();
@@ -97,11 +97,11 @@
   REQUIRE(call("/safe/1").Status_ == 200);
 }
 
-// Guards against an entry that refuses while the store holds its question with
-// nothing to tell: proofs come no oftener than that.
+// Guards against an entry that refuses requests while the store holds its call
+// because nothing changes: new proofs arrive only when such a call ends.
 TEST_CASE_METHOD(PlatformFixture,
-                 "store entry, alone in its zone and with nothing changing, "
-                 "refuses no request",
+                 "store entry, alone in its zone and with no changes, refuses "
+                 "no request",
                  "[store-entry]") {
   configure();
   startEntry(Seconds(5));
@@ -114,8 +114,9 @@
   }
 }
 
-// Guards against denials by a configuration that an outage has made old: what
-// was declared meanwhile is not denied, nor is what the entry cannot know.
+// Guards against denials based on a configuration that became outdated during
+// an outage: a route that was declared meanwhile must not be denied, nor one
+// that the entry cannot know of.
 TEST_CASE_METHOD(PlatformFixture,
                  "store entry, when the store is back from an outage, denies "
                  "nothing until it has the configuration in force",
@@ -140,11 +141,12 @@
       "the route is served", Milliseconds(2500));
 }
 
-// The endpoint runs a request and its answer is lost. What may run once is
-// answered as unknown and never sent again; the rest is sent elsewhere.
+// The endpoint runs a request and its answer is lost. A request that may run
+// only once is answered as of unknown outcome and never sent again; others are
+// sent to another endpoint.
 TEST_CASE_METHOD(PlatformFixture,
-                 "store entry, when answers are lost, runs what may run once "
-                 "at most once",
+                 "store entry, when answers are lost, runs a request that may "
+                 "run once at most once",
                  "[store-entry]") {
   configure();
   startEntry();
@@ -165,8 +167,8 @@
 }
 
 TEST_CASE_METHOD(PlatformFixture,
-                 "store entry, when all endpoints refuse, says not run with a "
-                 "time to come back",
+                 "store entry, when all endpoints refuse, answers not run with "
+                 "a Retry-After time",
                  "[store-entry]") {
   configure();
   startEntry();
@@ -180,8 +182,8 @@
 }
 
 TEST_CASE_METHOD(PlatformFixture,
-                 "store entry, when a stream is broken off within an event, "
-                 "goes on elsewhere with no event lost or doubled",
+                 "store entry, when a stream breaks off within an event, "
+                 "resumes it elsewhere with no event lost or duplicated",
                  "[store-entry]") {
   configure();
   startEntry();
@@ -190,7 +192,7 @@
   std::vector<std::string> Expected;
   for (int I = 1; I <= Events; ++I)
     Expected.push_back("e" + std::to_string(I));
-  // Until one of them began at the endpoint that breaks.
+  // Repeats until a stream has started at the endpoint that breaks streams.
   for (int I = 0; I < 20 && A_.runs() == 0; ++I) {
     StreamResult R = fetchStream(
         callers(), request("/stream/1", "key1", "s" + std::to_string(I)));
@@ -201,8 +203,8 @@
 }
 
 TEST_CASE_METHOD(PlatformFixture,
-                 "store entry, when an endpoint drains or goes, sends it "
-                 "nothing more",
+                 "store entry, when an endpoint drains or is removed, sends "
+                 "it no more requests",
                  "[store-entry]") {
   configure();
   startEntry();
@@ -223,11 +225,11 @@
   REQUIRE(B_.runs() == BeforeB);
 }
 
-// A planned stop while a request is under way: it gets its whole answer, the
-// balancer is told at once, and the process ends by itself.
+// Planned stop during a request: the caller gets the whole answer, the balancer
+// sees not ready at once, and the process exits.
 TEST_CASE_METHOD(PlatformFixture,
-                 "store entry, at a planned stop, finishes what it has and "
-                 "ends",
+                 "store entry, at a planned stop, finishes its requests and "
+                 "exits",
                  "[store-entry]") {
   configure();
   Process &Entry = startEntry();
@@ -246,8 +248,8 @@
 }
 
 TEST_CASE_METHOD(PlatformFixture,
-                 "store entry, when its settings file is said to have changed, "
-                 "goes on",
+                 "store entry, given SIGHUP for a changed settings file, keeps "
+                 "serving",
                  "[store-entry]") {
   configure();
   Process &Entry = startEntry();
@@ -259,15 +261,16 @@
   REQUIRE(Entry.running());
 }
 
-// Nobody reads the process's standard output: the pipe fills. Requests must not
-// notice.
-TEST_CASE_METHOD(PlatformFixture,
-                 "store entry, when nobody reads its log, answers as before",
-                 "[store-entry]") {
+// When nobody reads the process's standard output, the pipe fills up. Requests
+// must not be delayed.
+TEST_CASE_METHOD(
+    PlatformFixture,
+    "store entry, when nobody reads its log, answers without delay",
+    "[store-entry]") {
   configure();
   startEntry();
   eventually([&] { return isReady(); }, "the entry is ready");
-  // A request writes about 600 bytes of log; a pipe holds 64 KiB.
+  // A request logs about 600 bytes; a pipe holds 64 KiB.
   auto Longest = Duration::zero();
   for (int I = 0; I < 600; ++I) {
     auto At = std::chrono::steady_clock::now();
@@ -282,7 +285,7 @@
 }
 
 TEST_CASE_METHOD(PlatformFixture,
-                 "store entry, asked for metrics, gives counters and "
+                 "store entry, asked for metrics, returns counters and "
                  "histograms that add up",
                  "[store-entry]") {
   configure();
--- a/tests/integration/ZoneSourceTest.cpp
+++ b/tests/integration/ZoneSourceTest.cpp
@@ -1,4 +1,5 @@
-// Entries of one zone, as real processes: one reads the store, others ask it.
+// Entries of one zone as real processes: one reads the store, the others query
+// it.
 
 #include "tests/integration/PlatformFixture.h"
 
@@ -25,7 +26,7 @@
   static double storeCalls(Process &Entry) {
     return metricsOf(Entry)["hawthornroad_store_calls_total"];
   }
-  // The route /safe/ goes away with the next configuration.
+  // Publishes a configuration without the route /safe/.
   void removeRoute() {
     HasSafeRoute_ = false;
     configure();
@@ -36,10 +37,11 @@
 };
 } // namespace
 
-TEST_CASE_METHOD(ZoneFixture,
-                 "entries of one zone, with all well, read the store once and "
-                 "have each change at once",
-                 "[store-entry]") {
+TEST_CASE_METHOD(
+    ZoneFixture,
+    "entries of one zone, without faults, have one reader of the store "
+    "and apply each change at once",
+    "[store-entry]") {
   std::this_thread::sleep_for(Milliseconds(500));
   double Before = storeCalls(*Second_);
   removeRoute();
@@ -56,11 +58,12 @@
   REQUIRE(isReady(*Second_));
 }
 
-// The first entry of the zone is frozen, then killed. The second one is well:
-// it must have what changes meanwhile within the operators' bound of 2 s.
+// The first entry of the zone is frozen, and in the next test killed. The
+// second one must apply a change within the operators' bound of 2 s all the
+// same.
 TEST_CASE_METHOD(ZoneFixture,
-                 "entry that follows another, when that one freezes, has "
-                 "changes within their bound from the store",
+                 "entry that follows another, when that one freezes, gets "
+                 "changes from the store within their bound",
                  "[store-entry]") {
   First_->freeze();
   removeRoute();
@@ -73,8 +76,8 @@
 }
 
 TEST_CASE_METHOD(ZoneFixture,
-                 "entry that follows another, when that one is killed, has "
-                 "changes within their bound from the store",
+                 "entry that follows another, when that one is killed, gets "
+                 "changes from the store within their bound",
                  "[store-entry]") {
   First_->kill();
   removeRoute();
@@ -83,13 +86,12 @@
   REQUIRE(isReady(*Second_));
 }
 
-// The store falls silent for all of them: what a follower accepts on another's
-// word must end with the lease as well.
-TEST_CASE_METHOD(
-    ZoneFixture,
-    "entry that follows another, when the store goes silent, takes "
-    "no keys after the bound",
-    "[store-entry]") {
+// The store stops answering all entries. Keys that a follower accepts by its
+// source's data must also be refused when the lease ends.
+TEST_CASE_METHOD(ZoneFixture,
+                 "entry that follows another, when the store goes silent, "
+                 "accepts no keys after the bound",
+                 "[store-entry]") {
   Store_.setMode(StoreStandIn::Mode::Silent);
   auto Since = std::chrono::steady_clock::now();
   eventually([&] { return callAt(*Second_, "/safe/1").Status_ == 503; },
@@ -100,11 +102,12 @@
              "both are ready again");
 }
 
-// Guards against a follower that takes its source's word for contact with the
-// store, counts as behind, and refuses while its whole zone is cut off.
+// Guards against a follower that counts its source's answers as contact with
+// the store, considers itself behind, and refuses requests while its whole zone
+// is cut off.
 TEST_CASE_METHOD(ZoneFixture,
                  "entries of one zone, while the store is silent, serve until "
-                 "the lease of keys is over",
+                 "the lease of keys ends",
                  "[store-entry]") {
   Store_.setMode(StoreStandIn::Mode::Silent);
   auto Since = std::chrono::steady_clock::now();
--- a/tests/unit/SourceChoiceTest.cpp
+++ b/tests/unit/SourceChoiceTest.cpp
@@ -416,7 +416,7 @@
     for (std::size_t I = 0; I < Count; ++I)
       if (BegunAt(I) + Writing <= When)
         Written.push_back(All[I]);
-    return entriesBefore(All[Self], Written);
+    return precedingEntries(All[Self], Written);
   };
   std::vector<SourceChoice> Choices;
   TimePoint Settled = Start + Seconds(4);
@@ -426,7 +426,7 @@
     TimePoint Look = Begun;
     for (bool IsFirst = true; Look <= Settled; IsFirst = false) {
       Choices[I].setPreferred(LookAt(I, Look), Look);
-      Look += nextLookAfter(IsFirst);
+      Look += nextListingDelay(IsFirst);
     }
     if (I > 0)
       Choices[I].onAnswer(All[0].Address_, SourceHealth::Fresh, true, Settled);
--- a/tests/unit/TableRelayTest.cpp
+++ b/tests/unit/TableRelayTest.cpp
@@ -1,4 +1,4 @@
-// When others' questions are answered, and how old answers say they are.
+// When TableRelay answers queries, and which age its answers state.
 
 #include "hawthornroad/entry/TableRelay.h"
 #include "hawthornroad/base/Error.h"
@@ -20,9 +20,9 @@
     StoreRow Row{Table, "k", Value, V, false};
     R_.apply(Table, {true, {Row}, V});
     R_.prove(Table, AsOf);
-    R_.settle(Now_);
+    R_.answerDue(Now_);
   }
-  // After: what the asker knows of both tables, as of KnownFor ago.
+  // After: the client's version of both tables, confirmed KnownFor ago.
   void ask(std::optional<StoreVersion> After,
            Duration KnownFor = Duration::zero(), Duration MaxAge = Seconds(1)) {
     wire::RowsAskT Q;
@@ -45,18 +45,18 @@
           Answers_.push_back(std::move(*Unpacked.body.AsRowsAnswer()));
         },
         Now_);
-    R_.settle(Now_);
+    R_.answerDue(Now_);
   }
   void pass(Duration D) {
     Now_ += D;
-    R_.settle(Now_);
+    R_.answerDue(Now_);
   }
 };
 } // namespace
 
 TEST_CASE_METHOD(RelayFixture,
-                 "table relay, asked by one that knows nothing, answers with "
-                 "all as soon as it knows both tables",
+                 "table relay, queried by a client without a copy, answers "
+                 "with all rows as soon as it has both tables",
                  "[relay]") {
   ask(std::nullopt);
   know("op", 5, "a", Now_);
@@ -77,8 +77,8 @@
 
 TEST_CASE_METHOD(
     RelayFixture,
-    "table relay, asked by one that knows all, waits for a change, "
-    "a new proof or the end of the wait",
+    "table relay, queried by a client that is up to date, waits for a "
+    "change, a new proof or the end of the wait",
     "[relay]") {
   know("op", 5, "a", Now_);
   know("servers", 6, "b", Now_);
@@ -91,7 +91,7 @@
     REQUIRE(decodeRelayed(*Answers_[0].tables[0]).Rows_.at(0).Value_ == "c");
     REQUIRE(Answers_[0].tables[1]->rows.empty());
   }
-  SECTION("a proof that is little younger, then one that is") {
+  SECTION("a slightly newer proof, then a sufficiently newer one") {
     pass(Milliseconds(100));
     R_.prove("op", Now_);
     pass(Milliseconds(0));
@@ -110,11 +110,12 @@
   }
 }
 
-// An answer to the question before went out just ahead of the next proof. The
-// asker must not wait for one more, or its knowledge is two rhythms old.
+// The answer to the previous query was sent just before the next proof arrived.
+// If the relay then waited for one more proof, the client's copy would be two
+// proof intervals old.
 TEST_CASE_METHOD(RelayFixture,
-                 "table relay, asked by one whose knowledge is older than a "
-                 "proof it has, answers at once",
+                 "table relay, queried by a client whose copy is older than "
+                 "the last proof, answers at once",
                  "[relay]") {
   know("op", 5, "a", Now_);
   know("servers", 5, "b", Now_);
@@ -123,8 +124,8 @@
 }
 
 TEST_CASE_METHOD(RelayFixture,
-                 "table relay, with knowledge older than the asker can use, "
-                 "holds the question until it is younger",
+                 "table relay, with a copy older than the client accepts, "
+                 "holds the query until a newer proof",
                  "[relay]") {
   know("op", 5, "a", Now_ - Seconds(2));
   know("servers", 5, "b", Now_);
@@ -137,24 +138,26 @@
 }
 
 TEST_CASE_METHOD(RelayFixture,
-                 "table relay, without the store, says so at once", "[relay]") {
+                 "table relay, without the store, reports it at once",
+                 "[relay]") {
   know("op", 5, "a", Now_);
   know("servers", 5, "b", Now_);
   ask(5);
-  R_.setAway(true);
-  R_.settle(Now_);
+  R_.setStoreUnavailable(true);
+  R_.answerDue(Now_);
   REQUIRE(Answers_.size() == 1);
   REQUIRE(Answers_[0].away);
 }
 
-// Guards against twenty followers that ask a source again and again while it
-// reads its first answer after an outage.
+// Guards against twenty followers that query a source in a tight loop while it
+// receives its first answer after an outage: each query would be answered at
+// once with "away".
 TEST_CASE_METHOD(
     RelayFixture,
     "table relay, without the store but receiving from it, holds a "
-    "question that may wait and says that it is receiving",
+    "query that may wait and reports that it is receiving",
     "[relay]") {
-  R_.setAway(true);
+  R_.setStoreUnavailable(true);
   R_.setReceiving(true);
   ask(std::nullopt);
   REQUIRE(Answers_.empty());
@@ -165,13 +168,13 @@
   }
   SECTION("until it has both tables") {
     pass(Milliseconds(200));
-    R_.setAway(false);
+    R_.setStoreUnavailable(false);
     know("op", 5, "a", Now_);
     know("servers", 6, "b", Now_);
     REQUIRE(Answers_.size() == 1);
     REQUIRE_FALSE(Answers_[0].away);
   }
-  SECTION("until nothing more comes") {
+  SECTION("until it no longer receives") {
     R_.setReceiving(false);
     pass(Milliseconds(100));
     REQUIRE(Answers_.size() == 1);
@@ -181,7 +184,7 @@
 
 TEST_CASE_METHOD(RelayFixture,
                  "table relay, given a long value, sends it deflated and the "
-                 "asker has it whole",
+                 "client restores it",
                  "[relay]") {
   std::string Long;
   for (int I = 0; I < 2000; ++I)
@@ -199,26 +202,27 @@
 }
 
 TEST_CASE_METHOD(RelayFixture,
-                 "table relay, asked by more than it holds, answers the oldest "
-                 "early",
+                 "table relay, given more queries than it holds, answers the "
+                 "oldest early",
                  "[relay]") {
   know("op", 5, "a", Now_);
   know("servers", 5, "b", Now_);
-  for (std::size_t I = 0; I <= TableRelay::MaxHeld; ++I)
+  for (std::size_t I = 0; I <= TableRelay::MaxPending; ++I)
     ask(5);
   REQUIRE(Answers_.size() == 1);
 }
 
-// Guards against a follower that takes an answer of its source for one of the
-// store.
-TEST_CASE_METHOD(RelayFixture,
-                 "table relay, answering, tells how long ago the store was "
-                 "reached",
-                 "[relay]") {
+// Guards against a follower that counts an answer of its source as contact with
+// the store.
+TEST_CASE_METHOD(
+    RelayFixture,
+    "table relay, in its answers, states how long ago the store was "
+    "reached",
+    "[relay]") {
   know("op", 5, "a", Now_);
   know("servers", 5, "b", Now_);
   R_.reached(Now_);
-  // An earlier moment that comes late changes nothing.
+  // An earlier time that is reported late has no effect.
   R_.reached(Now_ - Seconds(1));
   ask(4);
   REQUIRE(Answers_.back().reached_age_us == 0);
