--- a/hawthornroad/agent/AgentEngine.cpp
+++ b/hawthornroad/agent/AgentEngine.cpp
@@ -62,11 +62,11 @@
 LoadSchedule StoreAgent::State::loadSchedule() const {
   LoadSchedule::Options O;
   O.Bound_ = Settings_.Common_.VersionBound_ - BoundMargin;
-  const EnginePace *Pace = pace();
+  const EngineProfile *Pace = pace();
   double Bits = Pace != nullptr
                     ? static_cast<double>(Pace->Pieces_ * Pace->PieceBytes_) * 8
                     : 0;
-  const ServiceEntry *Origin = Config_ ? Config_->origin() : nullptr;
+  const ServiceConfig *Origin = Config_ ? Config_->origin() : nullptr;
   double Mbps = Settings_.LinkMbps_;
   if (Origin != nullptr && Origin->LinkMbps_ > 0)
     Mbps = std::min(Mbps, Origin->LinkMbps_);
@@ -244,12 +244,12 @@
 }
 
 void StoreAgent::State::answerPlaceRequests(TimePoint Now) {
-  const EnginePace *Pace = pace();
+  const EngineProfile *Pace = pace();
   PlaceGrants::Pace P;
   if (Pace != nullptr) {
     P.Places_ = Pace->Slots_;
     P.Reading_ = std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double, std::milli>(Pace->readingMs()));
+        std::chrono::duration<double, std::milli>(Pace->meanFirstTokenMs()));
   }
   bool IsAway = !Updater_.state() || Updater_.isAway() || Updater_.isEmpty();
   for (const PlaceRequest &Q : std::exchange(PlaceRequests_, {})) {
--- a/hawthornroad/agent/AgentPieces.cpp
+++ b/hawthornroad/agent/AgentPieces.cpp
@@ -110,7 +110,7 @@
 }
 
 void StoreAgent::State::offerLoaded() {
-  const EnginePace *Pace = pace();
+  const EngineProfile *Pace = pace();
   if (OfferChecked_ || Pace == nullptr || Pace->Pieces_ == 0)
     return;
   OfferChecked_ = true;
--- a/hawthornroad/agent/AgentVersions.cpp
+++ b/hawthornroad/agent/AgentVersions.cpp
@@ -98,7 +98,7 @@
     try {
       if (Row.Key_ == platform::ConfigKey) {
         Config_ = RoutingConfig::build(platform::decodeConfig(Row.Value_));
-        const ServiceEntry *Origin = Config_->origin();
+        const ServiceConfig *Origin = Config_->origin();
         if (Origin != nullptr &&
             (!Origin_ || Origin_->address() != Origin->OriginAddress_)) {
           Origin_ = std::make_unique<HttpCalls>(
@@ -122,13 +122,13 @@
 // Until operators publish a version, the first one counts as wanted: an added
 // engine would otherwise stay empty.
 void StoreAgent::State::takeFirstVersion(TimePoint Now) {
-  const EnginePace *Pace = pace();
+  const EngineProfile *Pace = pace();
   if (!Updater_.wanted() && Pace != nullptr && !Pace->Model_.empty())
     takeVersion({Pace->Model_, FirstVersion}, Now);
 }
 
-const EnginePace *StoreAgent::State::pace() const {
-  const ServiceEntry *S =
+const EngineProfile *StoreAgent::State::pace() const {
+  const ServiceConfig *S =
       Config_ ? Config_->findService(Settings_.Service_) : nullptr;
   return S != nullptr && S->Engine_ ? &*S->Engine_ : nullptr;
 }
--- a/hawthornroad/agent/StoreAgentState.h
+++ b/hawthornroad/agent/StoreAgentState.h
@@ -90,7 +90,7 @@
   void takeVersion(const ModelVersion &V, TimePoint Now);
   void takeFirstVersion(TimePoint Now);
   // Configured capacity of this VM's engine; null until known.
-  const EnginePace *pace() const;
+  const EngineProfile *pace() const;
   // Makes P the wanted version.
   void startUpdate(std::shared_ptr<VersionUpdate> P);
   void startNextUpdate();
--- a/hawthornroad/config/BoundReader.h
+++ b/hawthornroad/config/BoundReader.h
@@ -1,18 +1,18 @@
-// Reads figures that somebody else's settings hand on to ours: operators'
-// bounds and limits of a VM.
+// Reads numeric settings that the platform fills in from its own data: the
+// operators' bounds and the limits of a VM.
 //
 //   readBound(R, "stop_bound", Milliseconds(1000), S.StopBound_);
-//   readFigure(R, "repeat_slack", S.RepeatSlack_);
+//   readAllowance(R, "repeat_slack", S.RepeatSlack_);
 //
-// Such figures are whole numbers, fractions or absent, and nobody here chooses
-// them. A process that ends because one of them is a fraction, or larger than
-// was foreseen, serves nobody, so these readers refuse only what has no
-// meaning: a text, a list, true, a negative number.
+// Such values are integers, fractions or absent, and whoever writes the
+// settings does not choose them. A process that exits because a value is a
+// fraction or unexpectedly large serves no requests, so these readers reject
+// only values without meaning: strings, lists, objects, null, true and negative
+// numbers.
 //
-// An absent or false figure leaves the default, which is a working one. So does
-// a bound or a rate of zero: it means that none is set. An allowance of zero is
-// meant as it stands. A smaller bound than this product can keep is raised to
-// the least one: it is kept as well as it can be.
+// An absent or false value keeps the default. So does a bound or a rate of
+// zero, which means "not set". An allowance of zero means zero. A bound below
+// the minimum that this program can keep is raised to that minimum.
 
 #ifndef HAWTHORNROAD_CONFIG_BOUNDREADER_H
 #define HAWTHORNROAD_CONFIG_BOUNDREADER_H
@@ -24,19 +24,22 @@
 
 namespace hawthornroad {
 
-// Longer bounds are lowered to this one: timers add them to the clock, and no
-// process of a fleet that is rebuilt every night sees the end of it.
+// Upper limit of bounds; longer ones are lowered to it. Timers add bounds to
+// the clock, so a huge one would overflow. No process runs this long: the fleet
+// is rebuilt every night.
 constexpr Duration LongestBound = Seconds(30 * 86400);
 
-// Reads Name_ms or Name_s, milliseconds or seconds; fractions are kept to the
-// microsecond. Both members in one object are a fault.
+// Reads the member Name_ms (milliseconds) or Name_s (seconds), rounded to the
+// microsecond and raised to Least. Giving both members is a fault.
 void readBound(ObjectReader &R, const std::string &Name, Duration Least,
                Duration &Value);
 
-// Reads an allowance, zero included, in the unit of Value.
-void readFigure(ObjectReader &R, const std::string &Name, double &Value);
+// Reads an allowance, such as a number of extra requests, in the unit of Value.
+// Zero is a valid allowance.
+void readAllowance(ObjectReader &R, const std::string &Name, double &Value);
 
-// Reads a rate of something that must go on, in the unit of Value.
+// Reads a rate that must be positive, in the unit of Value. Zero keeps the
+// default.
 void readRate(ObjectReader &R, const std::string &Name, double &Value);
 
 } // namespace hawthornroad
--- a/hawthornroad/config/Declaration.cpp
+++ b/hawthornroad/config/Declaration.cpp
@@ -18,7 +18,7 @@
   return -1;
 }
 
-std::string percentDecoded(std::string_view Path) {
+std::string percentDecode(std::string_view Path) {
   std::string Out;
   for (std::size_t I = 0; I < Path.size(); ++I) {
     bool IsEscape = Path[I] == '%' && I + 2 < Path.size() &&
@@ -34,10 +34,11 @@
   return Out;
 }
 
-// The path as a service resolves it: escapes decoded, no query, no empty or
-// "." parts, ".." applied. "/a/../%69nvoices//5?x" becomes "/invoices/5".
-std::string resolvedPath(std::string_view Path) {
-  std::string Decoded = percentDecoded(Path.substr(0, Path.find('?')));
+// Normalizes a path as a service would resolve it: removes the query, decodes
+// percent escapes, drops empty and "." segments and applies "..". For example,
+// "/a/../%69nvoices//5?x" becomes "/invoices/5".
+std::string normalizePath(std::string_view Path) {
+  std::string Decoded = percentDecode(Path.substr(0, Path.find('?')));
   std::vector<std::string> Parts;
   std::size_t At = 0;
   while (At < Decoded.size()) {
@@ -56,25 +57,25 @@
 }
 } // namespace
 
-// Greedy match with one remembered star: on a mismatch the last star swallows
-// one more character. Earlier stars need no second look, for the last one can
-// swallow whatever they could.
+// Greedy match that backtracks only to the last star: on a mismatch that star
+// consumes one more character. Earlier stars need no backtracking, because the
+// last one can consume whatever they could.
 bool matchesPattern(std::string_view Pattern, std::string_view Text) {
   constexpr std::size_t None = std::string_view::npos;
   std::size_t P = 0;
   std::size_t T = 0;
-  std::size_t Star = None;
-  std::size_t Swallowed = 0;
+  std::size_t LastStar = None;
+  std::size_t StarEnd = 0;
   while (T < Text.size()) {
     if (P < Pattern.size() && Pattern[P] == '*') {
-      Star = P++;
-      Swallowed = T;
+      LastStar = P++;
+      StarEnd = T;
     } else if (P < Pattern.size() && Pattern[P] == Text[T]) {
       ++P;
       ++T;
-    } else if (Star != None) {
-      P = Star + 1;
-      T = ++Swallowed;
+    } else if (LastStar != None) {
+      P = LastStar + 1;
+      T = ++StarEnd;
     } else {
       return false;
     }
@@ -88,22 +89,21 @@
   });
 }
 
-// Failure guarded against: a caller spells a path in another way that the
-// service takes for the same ("//invoices", "/%69nvoices"); compared letter by
-// letter it would count as repeatable, and a retry would bill a client twice.
-// Both spellings are compared, as sent and as resolved: either one matching
-// makes the call non-repeatable.
+// Compares the path both as sent and normalized; a match of either makes the
+// request non-repeatable. Comparing only the path as sent would miss spellings
+// that the service treats as equal ("//invoices", "/%69nvoices"), and a retry
+// could bill a client twice.
 bool Service::isRepeatable(std::string_view Method,
                            std::string_view Path) const {
   if (NonRepeatable_.empty())
     return true;
-  std::string Resolved = resolvedPath(Path);
+  std::string Normalized = normalizePath(Path);
   return std::none_of(NonRepeatable_.begin(), NonRepeatable_.end(),
                       [&](const NonRepeatableRule &Rule) {
                         if (!Rule.Method_.empty() && Rule.Method_ != Method)
                           return false;
                         return Path.starts_with(Rule.Path_) ||
-                               (Resolved + "/").starts_with(Rule.Path_);
+                               (Normalized + "/").starts_with(Rule.Path_);
                       });
 }
 
@@ -125,48 +125,48 @@
 }
 
 namespace {
-// Puts a service after its dependencies. Ends because checkServices() found
-// no cycle.
-void placeAfterDependencies(const std::map<ServiceName, Service> &Services,
-                            const Service &S, std::set<ServiceName> &Placed,
-                            std::vector<ServiceName> &Order) {
-  if (!Placed.insert(S.Name_).second)
+// Appends a service to Order after its dependencies. The recursion terminates
+// because checkServices() has ruled out cycles.
+void appendAfterDependencies(const std::map<ServiceName, Service> &Services,
+                             const Service &S, std::set<ServiceName> &Visited,
+                             std::vector<ServiceName> &Order) {
+  if (!Visited.insert(S.Name_).second)
     return;
   for (const ServiceName &Each : S.DependsOn_)
-    placeAfterDependencies(Services, Services.at(Each), Placed, Order);
+    appendAfterDependencies(Services, Services.at(Each), Visited, Order);
   Order.push_back(S.Name_);
 }
 } // namespace
 
 std::vector<ServiceName> Declaration::dependencyOrder() const {
   std::vector<ServiceName> Order;
-  std::set<ServiceName> Placed;
+  std::set<ServiceName> Visited;
   for (const auto &[Name, S] : Services_)
-    placeAfterDependencies(Services_, S, Placed, Order);
+    appendAfterDependencies(Services_, S, Visited, Order);
   return Order;
 }
 
 DeclarationBuilder &DeclarationBuilder::add(ZoneDeclaration Zone) {
   AvailabilityZone Name = Zone.Name_;
-  Made_.Zones_.insert_or_assign(std::move(Name), std::move(Zone));
+  Result_.Zones_.insert_or_assign(std::move(Name), std::move(Zone));
   return *this;
 }
 
 DeclarationBuilder &DeclarationBuilder::add(Service S) {
   ServiceName Name = S.Name_;
-  Made_.Services_.insert_or_assign(std::move(Name), std::move(S));
+  Result_.Services_.insert_or_assign(std::move(Name), std::move(S));
   return *this;
 }
 
 DeclarationBuilder &DeclarationBuilder::add(CustomerLimits Limits) {
   Customer Name = Limits.Name_;
-  Made_.Customers_.insert_or_assign(std::move(Name), std::move(Limits));
+  Result_.Customers_.insert_or_assign(std::move(Name), std::move(Limits));
   return *this;
 }
 
 std::shared_ptr<const Declaration> DeclarationBuilder::build() const {
   std::string Message;
-  for (const DeclarationFault &Each : checkServices(Made_.Services_)) {
+  for (const DeclarationFault &Each : checkServices(Result_.Services_)) {
     if (!Message.empty())
       Message += "; ";
     Message += "services." + Each.Service_.str() + "." + Each.Key_ + ": " +
@@ -174,7 +174,7 @@
   }
   if (!Message.empty())
     throw Error(Step::Declaration, "", Message);
-  return std::make_shared<const Declaration>(Made_);
+  return std::make_shared<const Declaration>(Result_);
 }
 
 } // namespace hawthornroad
--- a/hawthornroad/config/Declaration.h
+++ b/hawthornroad/config/Declaration.h
@@ -1,10 +1,10 @@
-// What the operators declared: zones, services, customers. Immutable once
+// The operators' declaration of zones, services and customers. Immutable once
 // built; the whole process shares one std::shared_ptr<const Declaration>.
 //
 //   auto D = parseDeclaration(Text, "fleet.jsonc");   // throws TextError
 //   const Service *S = D->findService(ServiceName("copywriter-lm"));
 //
-// The text is JSON with comments. Services, zones and customers are objects
+// The format is JSON with comments. Services, zones and customers are objects
 // keyed by name, so that a change is a small JSON merge patch (RFC 7386):
 //
 //   {
@@ -13,7 +13,7 @@
 //     "services": {
 //       "copywriter-lm": {
 //         "kind": "model",
-//         "vms": ["copywriter-lm-*"],       // names; one * stands for any run
+//         "vms": ["copywriter-lm-*"],       // names; * matches any substring
 //         "replicas": 16,
 //         "model": {"manifest": "/copywriter/v1/manifest.json",
 //                   "version": "sha256:..."},
@@ -46,31 +46,32 @@
 
 enum class ServiceKind { Model, Plain };
 
-// Which of the two measures a rollout spares: time to N replicas, or bytes
-// read from the origin.
+// What a rollout minimizes: the time until all replicas serve the version, or
+// the bytes read from the origin.
 enum class RolloutPreference { Time, OriginBytes };
 
 struct ModelDeclaration {
-  // Path of the manifest at the origin.
+  // Path of the manifest on the origin.
   std::string Manifest_;
-  // The manifest's digest: the version every endpoint must serve.
+  // Digest of the manifest; identifies the version that all endpoints serve.
   VersionDigest Version_;
   bool operator==(const ModelDeclaration &) const = default;
 };
 
 struct RolloutDeclaration {
   RolloutPreference Preference_ = RolloutPreference::Time;
-  // Endpoints of one zone that may be out of service at once.
+  // Maximum number of endpoints per zone that are out of service at once.
   std::size_t MaxUnavailable_ = 1;
-  // Bytes read from the origin for one version, in copies of the weights.
+  // Limit of bytes read from the origin per version, as a multiple of the
+  // weights' size.
   double OriginCopies_ = 3.3;
-  // Endpoints that fail to load before the rollout halts.
+  // Number of endpoints failing to load the version that halts the rollout.
   std::size_t HaltAfterFailures_ = 2;
   bool operator==(const RolloutDeclaration &) const = default;
 };
 
-// Calls that must run at most once: those whose method matches and whose path
-// starts with Path_. An empty method matches any.
+// Selects requests that must run at most once: those with this method and a
+// path that starts with Path_. An empty method matches every method.
 struct NonRepeatableRule {
   std::string Method_;
   std::string Path_;
@@ -79,7 +80,7 @@
 
 struct ServiceLimits {
   std::size_t InFlightPerEndpoint_ = 16;
-  // Requests that may wait at one entry for a free endpoint.
+  // Maximum number of requests that wait for a free endpoint, per entry.
   std::size_t Queue_ = 256;
   bool operator==(const ServiceLimits &) const = default;
 };
@@ -87,30 +88,30 @@
 struct Service {
   ServiceName Name_;
   ServiceKind Kind_ = ServiceKind::Plain;
-  // Patterns of VM names; '*' stands for any run of characters.
+  // Patterns of VM names; '*' matches any substring, also an empty one.
   std::vector<std::string> Vms_;
   std::size_t Replicas_ = 1;
   std::optional<ModelDeclaration> Model_;
   RolloutDeclaration Rollout_;
-  // Whether the engine refuses an order with an old fencing number.
+  // Whether the engine rejects load orders with an outdated fencing number.
   bool ChecksFencing_ = false;
   std::vector<ServiceName> DependsOn_;
   std::vector<NonRepeatableRule> NonRepeatable_;
   ServiceLimits Limits_;
 
   bool covers(const Vm &V) const;
-  // Whether a call may be sent again after it may have run.
+  // Whether a request that may already have run may be sent again.
   bool isRepeatable(std::string_view Method, std::string_view Path) const;
   bool operator==(const Service &) const = default;
 };
 
 struct CustomerLimits {
   Customer Name_;
-  // Share in weighted fair queueing, relative to other customers.
+  // Weight in weighted fair queueing, relative to other customers.
   double Weight_ = 1;
   double RequestsPerSecond_ = 100;
   double Burst_ = 200;
-  // Requests in progress over the whole fleet.
+  // Maximum number of concurrent requests in the whole fleet.
   std::size_t InFlight_ = 256;
   bool operator==(const CustomerLimits &) const = default;
 };
@@ -130,12 +131,12 @@
   const std::map<Customer, CustomerLimits> &customers() const {
     return Customers_;
   }
-  // Null when there is none of that name.
+  // Null when the name is unknown.
   const Service *findService(const ServiceName &Name) const;
   const CustomerLimits *findCustomer(const Customer &Name) const;
-  // The service whose patterns cover V; null when none does.
+  // The service whose patterns match V; null when there is none.
   const Service *serviceOf(const Vm &V) const;
-  // Services in an order in which each comes after what it depends on.
+  // All services in topological order: dependencies come first.
   std::vector<ServiceName> dependencyOrder() const;
 
   bool operator==(const Declaration &) const = default;
@@ -147,26 +148,26 @@
   std::map<Customer, CustomerLimits> Customers_;
 };
 
-// Gathers parts and checks them as a whole.
+// Collects the parts of a declaration and validates them together.
 class DeclarationBuilder {
 public:
   DeclarationBuilder &add(ZoneDeclaration Zone);
   DeclarationBuilder &add(Service S);
   DeclarationBuilder &add(CustomerLimits Limits);
-  // Throws Error(Step::Declaration) on a dangling dependency, a cycle, or a
-  // VM pattern that two services share.
+  // Throws Error(Step::Declaration) on an unknown dependency, a dependency
+  // cycle, or patterns of two services that can match the same VM.
   std::shared_ptr<const Declaration> build() const;
 
 private:
-  Declaration Made_;
+  Declaration Result_;
 };
 
-// Parses and validates an operators' text. Throws TextError with every fault,
-// each with its line and path.
+// Parses and validates a declaration. Throws TextError that lists all faults
+// with their lines and paths.
 std::shared_ptr<const Declaration> parseDeclaration(std::string_view Text,
                                                     const std::string &File);
 
-// Whether Text matches Pattern, in which '*' stands for any run.
+// Whether Text matches Pattern, in which '*' matches any substring.
 bool matchesPattern(std::string_view Pattern, std::string_view Text);
 
 } // namespace hawthornroad
--- a/hawthornroad/config/DeclarationCheck.cpp
+++ b/hawthornroad/config/DeclarationCheck.cpp
@@ -9,8 +9,8 @@
 using ServiceMap = std::map<ServiceName, Service>;
 
 // Depth-first search over dependencies. Path_ holds the services being
-// visited; meeting one of them again closes a cycle, which is the part of
-// Path_ from there on.
+// visited; reaching one of them again closes a cycle, which is the part of
+// Path_ that starts with that service.
 class CycleSearch {
 public:
   CycleSearch(const ServiceMap &Services, std::vector<DeclarationFault> &Faults)
@@ -36,11 +36,11 @@
 
 private:
   void report(std::vector<ServiceName>::const_iterator First) {
-    std::string Spelled;
+    std::string Cycle;
     for (auto Each = First; Each != Path_.end(); ++Each)
-      Spelled += Each->str() + " -> ";
+      Cycle += Each->str() + " -> ";
     Faults_.push_back(
-        {Path_.back(), "depends_on", "cycle: " + Spelled + First->str()});
+        {Path_.back(), "depends_on", "cycle: " + Cycle + First->str()});
   }
 
   const ServiceMap &Services_;
@@ -89,20 +89,20 @@
   }
 }
 
-bool literalBeginningsClash(std::string_view A, std::string_view B) {
+bool literalPrefixesDiffer(std::string_view A, std::string_view B) {
   std::size_t Length = std::min({A.find('*'), B.find('*'), A.size(), B.size()});
   return A.substr(0, Length) != B.substr(0, Length);
 }
 } // namespace
 
-// Row[J] says whether A's rest from I and B's rest from J can describe one
-// name, and Below[J] the same from I + 1. A star on either side either ends
-// here or swallows the other side's next character; both ways move on by one
-// on one side.
+// Dynamic programming over suffixes: Row[J] says whether A from I and B from J
+// can match the same string, and NextRow[J] says so for A from I + 1. A star
+// either matches nothing more or consumes the next character of the other
+// pattern; each case advances one of the patterns by one.
 bool patternsOverlap(std::string_view A, std::string_view B) {
-  if (literalBeginningsClash(A, B))
+  if (literalPrefixesDiffer(A, B))
     return false;
-  std::vector<char> Below(B.size() + 1, 0);
+  std::vector<char> NextRow(B.size() + 1, 0);
   for (std::size_t I = A.size() + 1; I-- > 0;) {
     std::vector<char> Row(B.size() + 1, 0);
     for (std::size_t J = B.size() + 1; J-- > 0;) {
@@ -112,13 +112,13 @@
       if (!HasA && !HasB)
         Row[J] = 1;
       else if (Star)
-        Row[J] = (HasA && Below[J]) || (HasB && Row[J + 1]);
+        Row[J] = (HasA && NextRow[J]) || (HasB && Row[J + 1]);
       else
-        Row[J] = HasA && HasB && A[I] == B[J] && Below[J + 1];
+        Row[J] = HasA && HasB && A[I] == B[J] && NextRow[J + 1];
     }
-    Below = std::move(Row);
+    NextRow = std::move(Row);
   }
-  return Below[0] != 0;
+  return NextRow[0] != 0;
 }
 
 std::vector<DeclarationFault> checkServices(const ServiceMap &Services) {
--- a/hawthornroad/config/DeclarationCheck.h
+++ b/hawthornroad/config/DeclarationCheck.h
@@ -1,8 +1,11 @@
-// What must hold over a whole declaration, beyond each part's own form:
-// dependencies exist and form no cycle, and no VM can belong to two services.
+// Checks across the services of a declaration: dependencies exist and form no
+// cycle, and no VM can belong to two services.
 //
-// Invariant for every holder of a Declaration: these checks have passed, so a
-// walk over dependencies ends and serviceOf() has one answer.
+//   for (const DeclarationFault &F : checkServices(Services))
+//     report(F.Service_, F.Key_, F.Message_);
+//
+// Every Declaration has passed these checks, so traversing dependencies
+// terminates and serviceOf() is unambiguous.
 
 #ifndef HAWTHORNROAD_CONFIG_DECLARATIONCHECK_H
 #define HAWTHORNROAD_CONFIG_DECLARATIONCHECK_H
@@ -18,19 +21,19 @@
 
 struct DeclarationFault {
   ServiceName Service_;
-  // The service's member at fault, "depends_on" or "vms".
+  // The faulty member of the service: "depends_on" or "vms".
   std::string Key_;
   std::string Message_;
   auto operator<=>(const DeclarationFault &) const = default;
 };
 
-// All faults, by service name. Cost: services plus dependencies for the graph;
-// for patterns, one look at each pair's literal beginnings, and the product of
-// the lengths for pairs that begin alike.
+// Returns all faults, ordered by service name. Cost: linear in services plus
+// dependencies for the graph. Patterns are compared in pairs, by their literal
+// prefixes; only pairs whose prefixes agree cost the product of their lengths.
 std::vector<DeclarationFault>
 checkServices(const std::map<ServiceName, Service> &Services);
 
-// Whether some name matches both patterns.
+// Whether any name can match both patterns.
 bool patternsOverlap(std::string_view A, std::string_view B);
 
 } // namespace hawthornroad
--- a/hawthornroad/config/DeclarationParser.cpp
+++ b/hawthornroad/config/DeclarationParser.cpp
@@ -9,9 +9,10 @@
 namespace hawthornroad {
 
 namespace {
-// Bounds of a declaration. They keep the whole text, which every process holds
-// and parses on each change, within a few milliseconds and megabytes.
-constexpr std::int64_t Format = 1;
+// Limits of a declaration. Every process holds the whole declaration and parses
+// it on each change; the limits keep that within a few milliseconds and
+// megabytes.
+constexpr std::int64_t FormatVersion = 1;
 constexpr std::size_t MaxZones = 256;
 constexpr std::size_t MaxServices = 512;
 constexpr std::size_t MaxCustomers = 4096;
@@ -24,12 +25,12 @@
 constexpr double MinWeight = 0.001;
 constexpr double MaxWeight = 1000;
 
-const std::string NameForm =
+const std::string NameRule =
     "expected a name of letters, digits and \"._-\", at most " +
     std::to_string(MaxName) + " characters";
 
-// Reads the whole tree into a builder. Parts with faults are added as far as
-// they were read, so that the checks over the whole find their faults too.
+// Reads the whole tree into a builder. Faulty parts are added as far as they
+// could be read, so that the checks across parts report their faults as well.
 class DeclarationParser {
 public:
   DeclarationParser(const JsonNode &Root, std::vector<Fault> &Faults)
@@ -37,12 +38,12 @@
 
   std::shared_ptr<const Declaration> parse() {
     ObjectReader Top(Root_, "", Faults_);
-    Top.integer("format", Format, Format);
+    Top.integer("format", FormatVersion, FormatVersion);
     readZones(Top);
     readServices(Top);
     readCustomers(Top);
     Top.finish();
-    checkWhole();
+    checkAcrossParts();
     if (!Faults_.empty())
       return nullptr;
     return Builder_.build();
@@ -58,7 +59,7 @@
 
   void checkName(ObjectReader &R, const std::string &Name) {
     if (!isName(Name))
-      R.fault("", NameForm);
+      R.fault("", NameRule);
   }
 
   void readZones(ObjectReader &Top) {
@@ -76,13 +77,13 @@
     Top.members("services", [&](const std::string &Name, ObjectReader &R) {
       checkName(R, Name);
       Service S = readService(Name, R);
-      Patterns_ += S.Vms_.size();
+      PatternCount_ += S.Vms_.size();
       Services_.insert_or_assign(S.Name_, S);
       Builder_.add(std::move(S));
     });
     checkCount(Top, "services", Services_.size(), MaxServices);
-    if (Patterns_ > MaxPatterns)
-      Top.fault("services", std::to_string(Patterns_) +
+    if (PatternCount_ > MaxPatterns)
+      Top.fault("services", std::to_string(PatternCount_) +
                                 " VM patterns are above the limit of " +
                                 std::to_string(MaxPatterns));
   }
@@ -174,20 +175,20 @@
   }
 
   void readRollout(ObjectReader &R, RolloutDeclaration &Rollout) {
-    ObjectReader Inner = R.object("rollout");
+    ObjectReader Section = R.object("rollout");
     Rollout.Preference_ =
-        Inner.choice("prefer", {"time", "origin_bytes"}, 0) == 0
+        Section.choice("prefer", {"time", "origin_bytes"}, 0) == 0
             ? RolloutPreference::Time
             : RolloutPreference::OriginBytes;
     Rollout.MaxUnavailable_ = static_cast<std::size_t>(
-        Inner.integer("max_unavailable", 1, MaxReplicas,
-                      static_cast<std::int64_t>(Rollout.MaxUnavailable_)));
-    Rollout.OriginCopies_ = Inner.number("origin_copies", 1, MaxOriginCopies,
-                                         Rollout.OriginCopies_);
+        Section.integer("max_unavailable", 1, MaxReplicas,
+                        static_cast<std::int64_t>(Rollout.MaxUnavailable_)));
+    Rollout.OriginCopies_ = Section.number("origin_copies", 1, MaxOriginCopies,
+                                           Rollout.OriginCopies_);
     Rollout.HaltAfterFailures_ = static_cast<std::size_t>(
-        Inner.integer("halt_after_failures", 1, MaxReplicas,
-                      static_cast<std::int64_t>(Rollout.HaltAfterFailures_)));
-    Inner.finish();
+        Section.integer("halt_after_failures", 1, MaxReplicas,
+                        static_cast<std::int64_t>(Rollout.HaltAfterFailures_)));
+    Section.finish();
   }
 
   void readCustomers(ObjectReader &Top) {
@@ -208,9 +209,9 @@
     checkCount(Top, "customers", Count, MaxCustomers);
   }
 
-  void checkWhole() {
-    // Above the limit the pairwise look at patterns would cost seconds.
-    if (Patterns_ > MaxPatterns)
+  void checkAcrossParts() {
+    // Above the limit, comparing all pairs of patterns would take seconds.
+    if (PatternCount_ > MaxPatterns)
       return;
     for (const DeclarationFault &Each : checkServices(Services_))
       Faults_.push_back({lineOf(Each.Service_, Each.Key_),
@@ -233,7 +234,7 @@
   std::vector<Fault> &Faults_;
   DeclarationBuilder Builder_;
   std::map<ServiceName, Service> Services_;
-  std::size_t Patterns_ = 0;
+  std::size_t PatternCount_ = 0;
 };
 } // namespace
 
@@ -241,10 +242,10 @@
                                                     const std::string &File) {
   JsonNode Root = parseJsonText(Text, File, Step::Declaration);
   std::vector<Fault> Faults;
-  std::shared_ptr<const Declaration> Made =
+  std::shared_ptr<const Declaration> Parsed =
       DeclarationParser(Root, Faults).parse();
   if (Faults.empty())
-    return Made;
+    return Parsed;
   std::stable_sort(
       Faults.begin(), Faults.end(),
       [](const Fault &A, const Fault &B) { return A.Line_ < B.Line_; });
--- a/hawthornroad/config/JsonText.cpp
+++ b/hawthornroad/config/JsonText.cpp
@@ -46,11 +46,11 @@
 
 namespace {
 
-// Receives Boost.JSON's events and builds nodes. Line_ is moved on by the
-// feeding loop.
+// SAX handler for Boost.JSON that builds nodes. The loop that feeds the parser
+// increments Line_.
 class TreeBuilder {
 public:
-  // Boost.JSON prescribes the names of its handler's members.
+  // Boost.JSON requires these names of handler members.
   // NOLINTBEGIN(readability-identifier-naming)
   static constexpr std::size_t max_object_size = SIZE_MAX;
   static constexpr std::size_t max_array_size = SIZE_MAX;
@@ -98,8 +98,8 @@
     return add(std::move(Node));
   }
   bool on_uint64(std::uint64_t Value, json::string_view, json::error_code &) {
-    // Above the signed range: kept as a double, which every integer range
-    // check then refuses.
+    // Above the signed range: stored as a double, which fails every integer
+    // range check.
     return on_double(static_cast<double>(Value), {}, Ignored_);
   }
   bool on_double(double Value, json::string_view, json::error_code &) {
@@ -187,15 +187,16 @@
   while (At < Text.size() && !Code) {
     std::size_t End = std::min(Text.find('\n', At), Text.size() - 1);
     std::string_view Line = Text.substr(At, End - At + 1);
-    std::size_t Taken = Parser.write_some(true, Line.data(), Line.size(), Code);
-    if (!Code && Taken < Line.size())
+    std::size_t Consumed =
+        Parser.write_some(true, Line.data(), Line.size(), Code);
+    if (!Code && Consumed < Line.size())
       Code = json::error::extra_data;
     At = End + 1;
     if (!Code)
       ++Builder.Line_;
   }
   if (!Code) {
-    // What is missing at the end is missing after the last line.
+    // Reports a premature end of the text at its last line.
     Builder.Line_ = std::max(1, Builder.Line_ - 1);
     Parser.write_some(false, "", 0, Code);
   }
--- a/hawthornroad/config/JsonText.h
+++ b/hawthornroad/config/JsonText.h
@@ -1,11 +1,11 @@
-// JSON with comments, parsed into nodes that remember their line.
+// JSON with comments, parsed into nodes that record their line.
 //
 //   JsonNode Root = parseJsonText(Text, "entry.jsonc");
 //
-// Comments (// and /* */) and one trailing comma are allowed. Boost.JSON does
-// the parsing; it is fed a line at a time so that each node knows where it
-// stood. Duplicate keys in an object are a fault: Boost.JSON's own value type
-// would keep the last one silently.
+// Comments (// and /* */) and one trailing comma are allowed. Boost.JSON parses
+// the text and is fed one line at a time, which gives each node its line.
+// Duplicate keys in an object are a fault; Boost.JSON's own value type would
+// silently keep the last one.
 // Limits: MaxJsonText bytes, MaxJsonDepth levels.
 
 #ifndef HAWTHORNROAD_CONFIG_JSONTEXT_H
@@ -49,7 +49,7 @@
 
 std::string_view toString(JsonNode::Kind K);
 
-// One thing wrong with a text. Path is "services.copywriter-lm.replicas".
+// An error in a text. Path_ is like "services.copywriter-lm.replicas".
 struct Fault {
   int Line_ = 0;
   std::string Path_;
@@ -57,11 +57,11 @@
   auto operator<=>(const Fault &) const = default;
 };
 
-// "FILE:LINE: PATH: MESSAGE", one line a fault.
+// One line per fault: "FILE:LINE: PATH: MESSAGE".
 std::string describeFaults(const std::string &File,
                            const std::vector<Fault> &Faults);
 
-// A text that is not JSON, or whose content is refused: all faults at once.
+// Thrown for a text that is not JSON or fails validation; lists all faults.
 class TextError : public Error {
 public:
   TextError(Step Where, const std::string &File, std::vector<Fault> Faults);
@@ -71,11 +71,11 @@
   std::vector<Fault> Faults_;
 };
 
-// Throws TextError(Where) on syntax errors, duplicate keys and limits.
+// Throws TextError(Where) on syntax errors, duplicate keys and exceeded limits.
 JsonNode parseJsonText(std::string_view Text, const std::string &File,
                        Step Where = Step::Settings);
 
-// The same tree without lines and comments.
+// Converts to a Boost.JSON value; lines are lost.
 boost::json::value toJson(const JsonNode &Node);
 
 // Reads a whole file; throws Error(Where, File, ...).
--- a/hawthornroad/config/Names.cpp
+++ b/hawthornroad/config/Names.cpp
@@ -19,8 +19,8 @@
 }
 
 bool isIp(int Family, const std::string &Text) {
-  unsigned char Raw[sizeof(in6_addr)];
-  return inet_pton(Family, Text.c_str(), Raw) == 1;
+  unsigned char Buffer[sizeof(in6_addr)];
+  return inet_pton(Family, Text.c_str(), Buffer) == 1;
 }
 
 bool isPort(std::string_view Text, PortRule Rule) {
--- a/hawthornroad/config/Names.h
+++ b/hawthornroad/config/Names.h
@@ -1,9 +1,12 @@
-// The forms of names and addresses that texts and settings may hold.
+// Validates names and addresses in declarations and settings.
+//
+//   if (!isName(Text) || !isAddress(Address, PortRule::NotZero))
+//     ...
 //
 // Names of services, customers, VMs and zones become parts of URLs, of table
-// keys ("claim/SERVICE/CUSTOMER/KEY") and of metric labels, so they keep to
-// letters, digits and "._-", at most MaxName characters. A name with a slash
-// would let one customer's claim key read as another's.
+// keys ("claim/SERVICE/CUSTOMER/KEY") and of metric labels, so they consist of
+// letters, digits and "._-", at most MaxName characters. With a slash in a
+// name, the claim key of one customer could equal that of another.
 
 #ifndef HAWTHORNROAD_CONFIG_NAMES_H
 #define HAWTHORNROAD_CONFIG_NAMES_H
@@ -17,14 +20,14 @@
 constexpr std::size_t MaxName = 128;
 
 bool isName(std::string_view Text);
-// A name in which '*' may stand too.
+// A name that may also contain '*'.
 bool isNamePattern(std::string_view Text);
 // "sha256:" and 64 lower-case hex digits.
 bool isDigest(std::string_view Text);
 
 enum class PortRule { AnyPort, NotZero };
-// "IP:port" with an IP number, "[IP]:port" for version 6. Names of hosts are
-// refused: the system talks by IP numbers only.
+// "IP:port" for IPv4, "[IP]:port" for IPv6. Host names are rejected: the system
+// uses numeric IP addresses only.
 bool isAddress(std::string_view Text, PortRule Rule);
 
 } // namespace hawthornroad
--- a/hawthornroad/config/ObjectReader.cpp
+++ b/hawthornroad/config/ObjectReader.cpp
@@ -56,7 +56,7 @@
 }
 
 const JsonNode *ObjectReader::take(std::string_view Key, bool Required) {
-  Asked_.insert(std::string(Key));
+  KnownKeys_.insert(std::string(Key));
   const JsonNode *Found = Node_->find(Key);
   if (Found == nullptr && Required)
     fault(Key, "is required");
@@ -202,7 +202,7 @@
 
 void ObjectReader::finish() {
   for (const JsonMember &Each : Node_->Members_)
-    if (Asked_.find(Each.Key_) == Asked_.end())
+    if (KnownKeys_.find(Each.Key_) == KnownKeys_.end())
       Faults_->push_back({Each.Value_.Line_, pathOf(Each.Key_), "unknown key"});
 }
 
--- a/hawthornroad/config/ObjectReader.h
+++ b/hawthornroad/config/ObjectReader.h
@@ -1,5 +1,5 @@
-// Reads the members of a JSON object by type and range, and gathers every
-// fault in place of stopping at the first.
+// Reads the members of a JSON object with checks of type and range, and
+// collects all faults instead of stopping at the first.
 //
 //   std::vector<Fault> Faults;
 //   ObjectReader R(Root, "", Faults);
@@ -9,8 +9,9 @@
 //   if (!Faults.empty())
 //     throw TextError(Step::Settings, File, Faults);
 //
-// Getters with a default are optional; those without are required. After a
-// fault a getter returns its default or an empty value, so reading goes on.
+// Scalar members read without a default are required, all others are optional.
+// After a fault a getter returns its default, an empty value or its minimum, so
+// reading continues.
 
 #ifndef HAWTHORNROAD_CONFIG_OBJECTREADER_H
 #define HAWTHORNROAD_CONFIG_OBJECTREADER_H
@@ -28,13 +29,13 @@
 
 class ObjectReader {
 public:
-  // Node may be of any kind; one that is no object is a fault.
+  // Adds a fault when Node is not an object.
   ObjectReader(const JsonNode &Node, std::string Path,
                std::vector<Fault> &Faults);
 
   std::string text(std::string_view Key);
   std::string text(std::string_view Key, std::string Default);
-  // One of Choices; returns its index.
+  // Expects one of Choices and returns its index.
   std::size_t choice(std::string_view Key,
                      const std::vector<std::string> &Choices,
                      std::optional<std::size_t> Default);
@@ -47,23 +48,24 @@
   Duration milliseconds(std::string_view Key, std::int64_t Min,
                         std::int64_t Max, std::int64_t Default);
   std::vector<std::string> texts(std::string_view Key);
-  // Calls Read(name, member) for each member of the object at Key; absent is
-  // allowed and reads nothing.
+  // Calls Read(name, member) for each member of the object at Key; does nothing
+  // when Key is absent.
   void
   members(std::string_view Key,
           const std::function<void(const std::string &, ObjectReader &)> &Read);
-  // Calls Read for each object in the list at Key; absent reads nothing.
+  // Calls Read for each object in the list at Key; does nothing when Key is
+  // absent.
   void items(std::string_view Key,
              const std::function<void(ObjectReader &)> &Read);
-  // A nested object; an absent one reads as empty.
+  // A reader of the nested object at Key; an absent one counts as empty.
   ObjectReader object(std::string_view Key);
   bool has(std::string_view Key) const;
-  // The member at Key, for readers that take several kinds; null when absent.
+  // The member at Key, for callers that accept several kinds; null when absent.
   const JsonNode *take(std::string_view Key, bool Required);
-  // Takes Key as known; its value is not looked at.
+  // Accepts Key without reading its value.
   void ignore(std::string_view Key) { take(Key, false); }
 
-  // Makes each key that no getter asked for a fault.
+  // Adds a fault for each key that has not been read.
   void finish();
   void fault(std::string_view Key, const std::string &Message);
   int line() const { return Line_; }
@@ -78,7 +80,7 @@
   int Line_;
   std::string Path_;
   std::vector<Fault> *Faults_;
-  std::set<std::string, std::less<>> Asked_;
+  std::set<std::string, std::less<>> KnownKeys_;
 };
 
 } // namespace hawthornroad
--- a/hawthornroad/config/RoutingConfig.cpp
+++ b/hawthornroad/config/RoutingConfig.cpp
@@ -19,26 +19,26 @@
 } // namespace
 
 std::shared_ptr<const RoutingConfig> RoutingConfig::build(Parts P) {
-  auto Made = std::make_shared<RoutingConfig>();
-  Made->Parts_ = std::move(P);
-  const Parts &Own = Made->Parts_;
-  for (std::size_t I = 0; I < Own.Routes_.size(); ++I) {
-    HostRoutes &H = Made->Hosts_[hostName(Own.Routes_[I].Host_)];
-    const std::string &Prefix = Own.Routes_[I].Prefix_;
+  auto Built = std::make_shared<RoutingConfig>();
+  Built->Parts_ = std::move(P);
+  const Parts &Source = Built->Parts_;
+  for (std::size_t I = 0; I < Source.Routes_.size(); ++I) {
+    HostRoutes &H = Built->Hosts_[hostName(Source.Routes_[I].Host_)];
+    const std::string &Prefix = Source.Routes_[I].Prefix_;
     H.ByPrefix_[Prefix] = I;
     H.Lengths_.push_back(Prefix.size());
   }
-  for (auto &[Host, H] : Made->Hosts_) {
+  for (auto &[Host, H] : Built->Hosts_) {
     std::sort(H.Lengths_.begin(), H.Lengths_.end(), std::greater<>());
     H.Lengths_.erase(std::unique(H.Lengths_.begin(), H.Lengths_.end()),
                      H.Lengths_.end());
   }
-  for (std::size_t I = 0; I < Own.Services_.size(); ++I)
-    Made->Services_[Own.Services_[I].Name_] = I;
-  for (std::size_t I = 0; I < Own.Customers_.size(); ++I)
-    for (const std::string &Key : Own.Customers_[I].Keys_)
-      Made->Keys_[Key] = I;
-  return Made;
+  for (std::size_t I = 0; I < Source.Services_.size(); ++I)
+    Built->Services_[Source.Services_[I].Name_] = I;
+  for (std::size_t I = 0; I < Source.Customers_.size(); ++I)
+    for (const std::string &Key : Source.Customers_[I].Keys_)
+      Built->Keys_[Key] = I;
+  return Built;
 }
 
 const Route *RoutingConfig::match(std::string_view Host,
@@ -57,19 +57,19 @@
   return nullptr;
 }
 
-const ServiceEntry *RoutingConfig::findService(const ServiceName &Name) const {
+const ServiceConfig *RoutingConfig::findService(const ServiceName &Name) const {
   auto Found = Services_.find(Name);
   return Found == Services_.end() ? nullptr : &Parts_.Services_[Found->second];
 }
 
-const ServiceEntry *RoutingConfig::origin() const {
-  for (const ServiceEntry &Each : Parts_.Services_)
+const ServiceConfig *RoutingConfig::origin() const {
+  for (const ServiceConfig &Each : Parts_.Services_)
     if (!Each.OriginAddress_.empty())
       return &Each;
   return nullptr;
 }
 
-const CustomerEntry *RoutingConfig::customerOf(const std::string &Key) const {
+const CustomerConfig *RoutingConfig::customerOf(const std::string &Key) const {
   auto Found = Keys_.find(Key);
   return Found == Keys_.end() ? nullptr : &Parts_.Customers_[Found->second];
 }
--- a/hawthornroad/config/RoutingConfig.h
+++ b/hawthornroad/config/RoutingConfig.h
@@ -1,16 +1,17 @@
-// What operators have declared about requests, as one immutable value: routes,
-// services, customers and what callers may send.
+// The operators' routing configuration as one immutable value: routes,
+// services, customers and limits on requests.
 //
 //   auto Config = RoutingConfig::build(std::move(Parts));
 //   const Route *R = Config->match("api.example", "/a/b/c");
-//   const CustomerEntry *C = Config->customerOf(Key);
+//   const CustomerConfig *C = Config->customerOf(Key);
 //
-// A route is chosen by the host and by the longest prefix that begins the path;
-// prefixes begin and end with a slash. A request keeps the configuration that
-// it was matched with, so a change never alters it half-way.
+// A route is selected by host and by the longest matching path prefix; prefixes
+// begin and end with a slash. A request keeps the configuration that it was
+// matched with, so a change does not affect requests in progress.
 //
-// Cost: match() is one hash look-up and one per distinct prefix length of that
-// host; customerOf() is one hash look-up. Memory: about 300 bytes a route.
+// Cost: match() takes one hash lookup plus one per distinct prefix length of
+// the host; customerOf() takes one hash lookup. Memory: about 300 bytes per
+// route.
 
 #ifndef HAWTHORNROAD_CONFIG_ROUTINGCONFIG_H
 #define HAWTHORNROAD_CONFIG_ROUTINGCONFIG_H
@@ -28,17 +29,17 @@
 
 namespace hawthornroad {
 
-// What may be done with a request a second time.
+// Whether a request may be sent again after it may have run.
 enum class Repeat {
-  Freely,   // may run more than once
-  Never,    // may run at most once
-  FromEvent // an event stream: may go on elsewhere after its last event
+  Allowed,      // may run more than once
+  Never,        // may run at most once
+  FromLastEvent // event stream: may resume elsewhere after its last event
 };
 
-struct ServiceShare {
+struct WeightedService {
   ServiceName Service_;
   unsigned Weight_ = 1;
-  bool operator==(const ServiceShare &) const = default;
+  bool operator==(const WeightedService &) const = default;
 };
 
 struct Route {
@@ -46,84 +47,84 @@
   std::string Host_;
   std::string Prefix_;
   Repeat Repeat_ = Repeat::Never;
-  // Whether answers are event streams, resumable or not.
+  // Whether responses are event streams, resumable or not.
   bool IsStream_ = false;
-  // Longest time from a request's arrival to its final answer.
+  // Maximum time from the arrival of a request to its final response.
   Duration Timeout_ = Seconds(30);
-  // Time to the first byte within which an answer is worth its full value.
-  Duration Goal_ = Seconds(1);
-  // Longest pause between two events of a stream.
-  Duration GapGoal_ = Seconds(1);
-  // Rank in overload; 0 goes first.
+  // Latency objective: a response whose first byte comes within this time has
+  // its full value.
+  Duration FirstByteGoal_ = Seconds(1);
+  // Latency objective for the pause between two events of a stream.
+  Duration EventGapGoal_ = Seconds(1);
+  // Priority under overload; 0 is served first.
   int Rank_ = 1;
-  // Endpoints that one request may be sent to.
+  // Maximum number of endpoints that one request is sent to.
   unsigned MaxAttempts_ = 1;
-  // Whether callers need no key.
+  // Whether requests are accepted without a key.
   bool IsPublic_ = false;
-  std::vector<ServiceShare> Services_;
+  std::vector<WeightedService> Services_;
   bool operator==(const Route &) const = default;
 };
 
-// How fast an engine reads and writes, from its declaration.
-struct EnginePace {
-  // The model it serves.
+// Declared capacity and speed of a service's engines.
+struct EngineProfile {
+  // Name of the served model.
   std::string Model_;
-  // Requests of one batch.
+  // Maximum number of requests in a batch.
   unsigned Slots_ = 1;
   double StepMs_ = 0;
   double PerSequenceMs_ = 0;
   double ContextPerKTokensMs_ = 0;
-  double ReadTokensPerMs_ = 1;
-  // Token steps of one pass.
-  unsigned Stride_ = 1;
+  double PrefillTokensPerMs_ = 1;
+  // Token decoding steps per pass of the engine.
+  unsigned StepsPerPass_ = 1;
   std::uint64_t KvCapacity_ = 0;
   Duration ReportLag_ = Duration::zero();
-  // Mean tokens of a prompt and of an answer.
-  double UsualPrompt_ = 0;
-  double UsualAnswer_ = 0;
-  // Of the model's weights: pieces of a version, and bytes of each but the
-  // last.
+  // Mean number of tokens in a prompt and in a response.
+  double MeanPromptTokens_ = 0;
+  double MeanAnswerTokens_ = 0;
+  // Number of pieces in a version of the model's weights, and the size of each
+  // piece but the last, in bytes.
   std::size_t Pieces_ = 0;
   std::size_t PieceBytes_ = 0;
-  // What reading a usual prompt takes, with the step that makes its first
-  // token.
-  double readingMs() const {
-    return UsualPrompt_ / std::max(1.0, ReadTokensPerMs_) + StepMs_;
+  // Time to prefill a prompt of mean length and decode the first token.
+  double meanFirstTokenMs() const {
+    return MeanPromptTokens_ / std::max(1.0, PrefillTokensPerMs_) + StepMs_;
   }
-  bool operator==(const EnginePace &) const = default;
+  bool operator==(const EngineProfile &) const = default;
 };
 
-struct ServiceEntry {
+struct ServiceConfig {
   ServiceName Name_;
   // Path of the health check; empty when the service has none.
   std::string HealthPath_;
-  // Connections that one endpoint accepts from all callers together.
+  // Maximum number of connections to one endpoint, over all callers.
   std::size_t MaxConnections_ = 16;
   // Set for model services.
-  std::optional<EnginePace> Engine_;
-  // Set for the service that hands out weights: its "IP:port" and zone.
+  std::optional<EngineProfile> Engine_;
+  // Set for the origin service, which serves weights: its "IP:port" and zone.
   std::string OriginAddress_;
   AvailabilityZone OriginZone_;
-  // The origin's link, megabits a second; 0 when not told.
+  // Bandwidth of the origin's link in Mbit/s; 0 when unknown.
   double LinkMbps_ = 0;
-  bool operator==(const ServiceEntry &) const = default;
+  bool operator==(const ServiceConfig &) const = default;
 };
 
-struct CustomerEntry {
+struct CustomerConfig {
   Customer Name_;
   std::vector<std::string> Keys_;
-  // Takes precedence over the route's.
+  // Overrides the priority of the route.
   std::optional<int> Rank_;
-  bool operator==(const CustomerEntry &) const = default;
+  bool operator==(const CustomerConfig &) const = default;
 };
 
-// Bounds on what a caller may send.
-struct RequestBounds {
+// Limits on requests from callers.
+struct RequestLimits {
   std::size_t HeaderBytes_ = 16384;
   std::size_t BodyBytes_ = 4 * 1024 * 1024;
   Duration HeaderTimeout_ = Seconds(3);
   Duration IdleTimeout_ = Seconds(15);
-  bool operator==(const RequestBounds &) const = default;
+  bool operator==(const RequestLimits &) const = default;
 };
 
 class RoutingConfig {
@@ -131,29 +132,30 @@
   struct Parts {
     std::uint64_t Version_ = 0;
     std::vector<Route> Routes_;
-    std::vector<ServiceEntry> Services_;
-    std::vector<CustomerEntry> Customers_;
-    RequestBounds Limits_;
+    std::vector<ServiceConfig> Services_;
+    std::vector<CustomerConfig> Customers_;
+    RequestLimits Limits_;
   };
 
   static std::shared_ptr<const RoutingConfig> build(Parts P);
 
   std::uint64_t version() const { return Parts_.Version_; }
-  // Path without query. Host may carry a port, letter case is ignored.
+  // Path excludes the query. Host may include a port and is compared without
+  // regard to case. Returns null when no route matches.
   const Route *match(std::string_view Host, std::string_view Path) const;
-  const ServiceEntry *findService(const ServiceName &Name) const;
-  // The service that hands out weights; null when there is none.
-  const ServiceEntry *origin() const;
-  const CustomerEntry *customerOf(const std::string &Key) const;
-  // Whether any customer is declared: then routes need keys.
+  const ServiceConfig *findService(const ServiceName &Name) const;
+  // The service that serves weights; null when there is none.
+  const ServiceConfig *origin() const;
+  const CustomerConfig *customerOf(const std::string &Key) const;
+  // Whether any customer is declared; only then do routes require keys.
   bool hasCustomers() const { return !Parts_.Customers_.empty(); }
-  const RequestBounds &limits() const { return Parts_.Limits_; }
+  const RequestLimits &limits() const { return Parts_.Limits_; }
   const Parts &parts() const { return Parts_; }
 
 private:
   struct HostRoutes {
     std::unordered_map<std::string, std::size_t> ByPrefix_;
-    // Lengths of prefixes, longest first.
+    // Distinct prefix lengths, longest first.
     std::vector<std::size_t> Lengths_;
   };
 
--- a/hawthornroad/config/Settings.cpp
+++ b/hawthornroad/config/Settings.cpp
@@ -11,20 +11,21 @@
 
 namespace {
 constexpr std::int64_t MaxInteger = std::numeric_limits<std::int64_t>::max();
-constexpr std::int64_t Hour = 3600 * 1000;
-constexpr std::int64_t Day = 24 * Hour;
+constexpr std::int64_t HourMs = 3600 * 1000;
+constexpr std::int64_t DayMs = 24 * HourMs;
 constexpr std::int64_t MaxBodyLimit = std::int64_t{1} << 30;
 constexpr std::int64_t MaxCount = 1000000;
-// The least bounds that can be kept: two reads of the store with their margins,
-// and, for what entries hear of at once, one read.
-constexpr Duration LeastBound = Milliseconds(1000);
-constexpr Duration LeastQuickBound = Milliseconds(100);
+// The smallest bounds that can be kept: the time for two reads of the store
+// with margins, and one read for changes that entries are notified of
+// immediately.
+constexpr Duration MinBound = Milliseconds(1000);
+constexpr Duration MinNotifiedBound = Milliseconds(100);
 
 std::int64_t millisecondsOf(Duration D) {
   return std::chrono::duration_cast<Milliseconds>(D).count();
 }
 
-// Replaces Value by the member at Key, within Min and Max milliseconds.
+// Replaces Value with the member at Key, from Min to Max milliseconds.
 void readDuration(ObjectReader &R, std::string_view Key, std::int64_t Min,
                   std::int64_t Max, Duration &Value) {
   Value = R.milliseconds(Key, Min, Max, millisecondsOf(Value));
@@ -59,14 +60,17 @@
                    Ports);
 }
 
-// The process's own listener; port 0 lets the kernel choose.
-void readListen(ObjectReader &R, std::string_view Key, std::string &Value) {
+// Reads the address of a listener of this process; with port 0 the kernel
+// chooses the port.
+void readListenAddress(ObjectReader &R, std::string_view Key,
+                       std::string &Value) {
   Value = R.text(Key, Value);
   checkAddress(R, Key, Value, PortRule::AnyPort);
 }
 
-// A listener of someone else, which must have a port.
-void readTarget(ObjectReader &R, std::string_view Key, std::string &Value) {
+// Reads the address of another process, which needs a port other than 0.
+void readRemoteAddress(ObjectReader &R, std::string_view Key,
+                       std::string &Value) {
   Value = R.text(Key, Value);
   checkAddress(R, Key, Value, PortRule::NotZero);
 }
@@ -74,11 +78,11 @@
 PlatformSettings readPlatform(ObjectReader &Top) {
   PlatformSettings P;
   ObjectReader R = Top.object("platform");
-  readTarget(R, "table", P.Table_);
-  readTarget(R, "objects", P.Objects_);
-  readTarget(R, "members", P.Members_);
-  readDuration(R, "timeout_ms", 10, Hour, P.Timeout_);
-  readDuration(R, "poll_period_ms", 10, Hour, P.PollPeriod_);
+  readRemoteAddress(R, "table", P.Table_);
+  readRemoteAddress(R, "objects", P.Objects_);
+  readRemoteAddress(R, "members", P.Members_);
+  readDuration(R, "timeout_ms", 10, HourMs, P.Timeout_);
+  readDuration(R, "poll_period_ms", 10, HourMs, P.PollPeriod_);
   R.finish();
   return P;
 }
@@ -87,9 +91,9 @@
   ProcessSettings S;
   S.Process_ = ProcessName(readName(R, "process"));
   S.Zone_ = AvailabilityZone(readName(R, "zone"));
-  readListen(R, "peer_listen", S.PeerListen_);
-  readListen(R, "admin_listen", S.AdminListen_);
-  readTarget(R, "peer_advertise", S.PeerAdvertise_);
+  readListenAddress(R, "peer_listen", S.PeerListen_);
+  readListenAddress(R, "admin_listen", S.AdminListen_);
+  readRemoteAddress(R, "peer_advertise", S.PeerAdvertise_);
   for (std::string &Each : R.texts("seeds")) {
     checkAddress(R, "seeds", Each, PortRule::NotZero);
     S.Seeds_.emplace_back(std::move(Each));
@@ -101,9 +105,9 @@
   S.LogLevel_ = Levels[R.choice("log_level", Levels, Info)];
   S.RandomSeed_ =
       static_cast<std::uint64_t>(R.integer("random_seed", 0, MaxInteger, 0));
-  readDuration(R, "probe_period_ms", 10, Hour, S.ProbePeriod_);
-  readDuration(R, "probe_timeout_ms", 5, Hour, S.ProbeTimeout_);
-  readDuration(R, "suspicion_timeout_ms", 10, Hour, S.SuspicionTimeout_);
+  readDuration(R, "probe_period_ms", 10, HourMs, S.ProbePeriod_);
+  readDuration(R, "probe_timeout_ms", 5, HourMs, S.ProbeTimeout_);
+  readDuration(R, "suspicion_timeout_ms", 10, HourMs, S.SuspicionTimeout_);
   if (S.ProbeTimeout_ >= S.ProbePeriod_)
     R.fault("probe_timeout_ms",
             "expected less than probe_period_ms, " +
@@ -114,14 +118,14 @@
 EntrySettings readEntry(ObjectReader &R) {
   EntrySettings S;
   S.Common_ = readCommon(R);
-  readListen(R, "caller_listen", S.CallerListen_);
+  readListenAddress(R, "caller_listen", S.CallerListen_);
   readSize(R, "max_body", 1, MaxBodyLimit, S.MaxBody_);
   readSize(R, "max_connections", 1, MaxCount, S.MaxConnections_);
-  readDuration(R, "default_deadline_ms", 1, Day, S.DefaultDeadline_);
-  readDuration(R, "max_deadline_ms", 1, Day, S.MaxDeadline_);
-  readDuration(R, "attempt_idle_ms", 10, Hour, S.AttemptIdle_);
-  readDuration(R, "drain_grace_ms", 0, Hour, S.DrainGrace_);
-  readDuration(R, "claim_keep_ms", 1000, 365 * Day, S.ClaimKeep_);
+  readDuration(R, "default_deadline_ms", 1, DayMs, S.DefaultDeadline_);
+  readDuration(R, "max_deadline_ms", 1, DayMs, S.MaxDeadline_);
+  readDuration(R, "attempt_idle_ms", 10, HourMs, S.AttemptIdle_);
+  readDuration(R, "drain_grace_ms", 0, HourMs, S.DrainGrace_);
+  readDuration(R, "claim_keep_ms", 1000, 365 * DayMs, S.ClaimKeep_);
   if (S.DefaultDeadline_ > S.MaxDeadline_)
     R.fault("default_deadline_ms",
             "expected at most max_deadline_ms, " +
@@ -135,20 +139,20 @@
   S.Vm_ = Vm(readName(R, "vm"));
   S.EndpointAddress_ = R.text("endpoint_address");
   checkAddress(R, "endpoint_address", S.EndpointAddress_, PortRule::NotZero);
-  readListen(R, "lock_listen", S.LockListen_);
-  readListen(R, "weights_listen", S.WeightsListen_);
-  readTarget(R, "weights_advertise", S.WeightsAdvertise_);
+  readListenAddress(R, "lock_listen", S.LockListen_);
+  readListenAddress(R, "weights_listen", S.WeightsListen_);
+  readRemoteAddress(R, "weights_advertise", S.WeightsAdvertise_);
   S.WeightsFolder_ = R.text("weights_folder", S.WeightsFolder_);
-  readTarget(R, "origin", S.Origin_);
+  readRemoteAddress(R, "origin", S.Origin_);
   readBytes(R, "keep_bytes", S.KeepBytes_);
   readBytes(R, "upload_rate", S.UploadRate_);
   readBytes(R, "download_rate", S.DownloadRate_);
   readSize(R, "capacity", 1, MaxCount, S.Capacity_);
   readSize(R, "attempt_buffer", 1024, MaxBodyLimit, S.AttemptBuffer_);
-  readDuration(R, "attempt_keep_ms", 100, Hour, S.AttemptKeep_);
-  readDuration(R, "drain_limit_ms", 0, Day, S.DrainLimit_);
-  readDuration(R, "report_period_ms", 10, Hour, S.ReportPeriod_);
-  readDuration(R, "endpoint_idle_ms", 10, Day, S.EndpointIdle_);
+  readDuration(R, "attempt_keep_ms", 100, HourMs, S.AttemptKeep_);
+  readDuration(R, "drain_limit_ms", 0, DayMs, S.DrainLimit_);
+  readDuration(R, "report_period_ms", 10, HourMs, S.ReportPeriod_);
+  readDuration(R, "endpoint_idle_ms", 10, DayMs, S.EndpointIdle_);
   return S;
 }
 
@@ -165,11 +169,11 @@
   S.LogLevel_ = Levels[R.choice("log_level", Levels, Info)];
   S.RandomSeed_ =
       static_cast<std::uint64_t>(R.integer("random_seed", 0, MaxInteger, 0));
-  readBound(R, "revoke_bound", LeastBound, S.RevokeBound_);
-  readBound(R, "version_bound", LeastBound, S.VersionBound_);
-  readBound(R, "drain_bound", LeastQuickBound, S.DrainBound_);
-  readBound(R, "apply_bound", LeastQuickBound, S.ApplyBound_);
-  readBound(R, "stop_bound", LeastBound, S.StopBound_);
+  readBound(R, "revoke_bound", MinBound, S.RevokeBound_);
+  readBound(R, "version_bound", MinBound, S.VersionBound_);
+  readBound(R, "drain_bound", MinNotifiedBound, S.DrainBound_);
+  readBound(R, "apply_bound", MinNotifiedBound, S.ApplyBound_);
+  readBound(R, "stop_bound", MinBound, S.StopBound_);
   return S;
 }
 
@@ -180,9 +184,9 @@
   P.LateGoBehind_ = R.boolean("late_go_behind", P.LateGoBehind_);
   P.AsksForPlaces_ = R.boolean("asks_for_places", P.AsksForPlaces_);
   P.LineShare_ = R.number("line_share", 0, 1, P.LineShare_);
-  readDuration(R, "line_least_ms", 0, Hour, P.LineLeast_);
-  readDuration(R, "most_reading_ms", 1, Hour, P.MostReading_);
-  readDuration(R, "cross_zone_cost_ms", 0, Hour, P.CrossZoneCost_);
+  readDuration(R, "line_least_ms", 0, HourMs, P.LineLeast_);
+  readDuration(R, "most_reading_ms", 1, HourMs, P.MostReading_);
+  readDuration(R, "cross_zone_cost_ms", 0, HourMs, P.CrossZoneCost_);
   P.KeptFromLate_ = R.number("kept_from_late", 0, 1, P.KeptFromLate_);
   R.finish();
   return P;
@@ -191,24 +195,24 @@
 StoreEntrySettings readStoreEntry(ObjectReader &R) {
   StoreEntrySettings S;
   S.Common_ = readStoreProcess(R);
-  readListen(R, "caller_listen", S.CallerListen_);
-  readListen(R, "ready_listen", S.ReadyListen_);
+  readListenAddress(R, "caller_listen", S.CallerListen_);
+  readListenAddress(R, "ready_listen", S.ReadyListen_);
   constexpr std::int64_t MaxPort = 65535;
   S.AgentPort_ = R.integer("agent_port", 0, MaxPort, S.AgentPort_);
   S.PeerListen_ = R.text("peer_listen", "");
   checkAddress(R, "peer_listen", S.PeerListen_, PortRule::AnyPort);
   readRate(R, "link_mbps", S.LinkMbps_);
   S.Policy_ = readEntryPolicy(R);
-  readFigure(R, "repeat_ratio", S.RepeatRatio_);
-  readBound(R, "repeat_window", LeastQuickBound, S.RepeatWindow_);
-  readFigure(R, "repeat_slack", S.RepeatSlack_);
+  readAllowance(R, "repeat_ratio", S.RepeatRatio_);
+  readBound(R, "repeat_window", MinNotifiedBound, S.RepeatWindow_);
+  readAllowance(R, "repeat_slack", S.RepeatSlack_);
   return S;
 }
 
 AgentPolicy readAgentPolicy(ObjectReader &Top) {
   AgentPolicy P;
   ObjectReader R = Top.object("policy");
-  readDuration(R, "most_reading_ms", 1, Hour, P.MostReading_);
+  readDuration(R, "most_reading_ms", 1, HourMs, P.MostReading_);
   P.PlacesKept_ = R.number("places_kept", 0, 0.9, P.PlacesKept_);
   P.KeptFromLate_ = R.number("kept_from_late", 0, 1, P.KeptFromLate_);
   R.finish();
@@ -218,9 +222,9 @@
 StoreAgentSettings readStoreAgent(ObjectReader &R) {
   StoreAgentSettings S;
   S.Common_ = readStoreProcess(R);
-  readTarget(R, "engine_address", S.EngineAddress_);
+  readRemoteAddress(R, "engine_address", S.EngineAddress_);
   S.Service_ = ServiceName(readName(R, "service"));
-  readListen(R, "peer_listen", S.PeerListen_);
+  readListenAddress(R, "peer_listen", S.PeerListen_);
   readRate(R, "link_mbps", S.LinkMbps_);
   S.Policy_ = readAgentPolicy(R);
   return S;
@@ -232,10 +236,10 @@
   JsonNode Root = parseJsonText(Text, File, Step::Settings);
   std::vector<Fault> Faults;
   ObjectReader R(Root, "", Faults);
-  Settings Made = Read(R);
+  Settings Parsed = Read(R);
   R.finish();
   if (Faults.empty())
-    return Made;
+    return Parsed;
   std::stable_sort(
       Faults.begin(), Faults.end(),
       [](const Fault &A, const Fault &B) { return A.Line_ < B.Line_; });
--- a/hawthornroad/config/Settings.h
+++ b/hawthornroad/config/Settings.h
@@ -1,8 +1,10 @@
-// The settings of the daemons: JSON with comments, every key checked at start.
+// Settings of the daemons: JSON with comments, validated at startup.
 //
 //   EntrySettings S = EntrySettings::load("entry.jsonc");  // throws TextError
 //
-// An "IP:port" may have port 0: the kernel chooses, and the ready line tells.
+// Every key is checked; unknown keys are faults. Fields are named like their
+// keys. A listening "IP:port" may have port 0: the kernel then chooses the
+// port, and the process prints it in its ready line.
 
 #ifndef HAWTHORNROAD_CONFIG_SETTINGS_H
 #define HAWTHORNROAD_CONFIG_SETTINGS_H
@@ -15,37 +17,38 @@
 
 namespace hawthornroad {
 
-// The platform's services. An empty address means "not there".
+// Services of the platform. An empty address means that the service does not
+// exist.
 struct PlatformSettings {
   std::string Table_;   // "IP:port"
   std::string Objects_; // "IP:port"
   std::string Members_; // "IP:port"
-  // Longest wait for one answer of the platform.
+  // Timeout of one request to the platform.
   Duration Timeout_ = Seconds(2);
-  // Period of reads of the table by the elected readers of a zone.
+  // Interval at which the elected readers of a zone read the table.
   Duration PollPeriod_ = Milliseconds(250);
   bool operator==(const PlatformSettings &) const = default;
 };
 
-// What both daemons share.
+// Settings common to both daemons.
 struct ProcessSettings {
   ProcessName Process_;
   AvailabilityZone Zone_;
   std::string PeerListen_ = "127.0.0.1:0";
   std::string AdminListen_ = "127.0.0.1:0";
-  // Where other processes reach the peer listener when that is not its own
-  // address (address translation, a proxy between); empty otherwise.
+  // Address at which other processes reach the peer listener, when it differs
+  // from PeerListen_ (address translation or a proxy); empty otherwise.
   std::string PeerAdvertise_;
-  // Peers to join through, beside the platform's membership list.
+  // Peers to join through, in addition to the platform's membership list.
   std::vector<PeerAddress> Seeds_;
   PlatformSettings Platform_;
-  // Folder of the state charts.
+  // Directory of the state charts.
   std::string Charts_ = "charts";
   std::string LogLevel_ = "info";
-  // Seed of all random choices; 0 takes one from the system.
+  // Seed of the random number generator; 0 takes one from the system.
   std::uint64_t RandomSeed_ = 0;
-  // Membership: period of probes, wait for a direct answer, and how long a
-  // suspected process has to refute.
+  // Membership: probe interval, timeout of a direct probe, and the time that a
+  // suspected process has to refute the suspicion.
   Duration ProbePeriod_ = Milliseconds(300);
   Duration ProbeTimeout_ = Milliseconds(150);
   Duration SuspicionTimeout_ = Milliseconds(1500);
@@ -57,14 +60,17 @@
   std::string CallerListen_ = "127.0.0.1:0";
   std::size_t MaxBody_ = 8 * 1024 * 1024;
   std::size_t MaxConnections_ = 4096;
-  // Deadline of a request that names none, and the longest one allowed.
+  // Deadline of requests that do not set one, and the maximum deadline.
   Duration DefaultDeadline_ = Seconds(30);
   Duration MaxDeadline_ = Seconds(600);
-  // An attempt silent for this long is asked after over a fresh connection.
+  // After this time without data from an attempt, its state is queried over a
+  // new connection.
   Duration AttemptIdle_ = Milliseconds(1000);
-  // How long after SIGTERM the listener stays open for the balancer's sake.
+  // How long the listener stays open after SIGTERM, so that the load balancer
+  // can notice the shutdown.
   Duration DrainGrace_ = Milliseconds(2000);
-  // How long a finished claim's answer is kept for repeats of its key.
+  // How long the response of a finished claim is kept for requests that repeat
+  // its key.
   Duration ClaimKeep_ = Seconds(86400);
 
   static EntrySettings parse(std::string_view Text, const std::string &File);
@@ -75,32 +81,34 @@
 struct AgentSettings {
   ProcessSettings Common_;
   Vm Vm_;
-  // The engine or plain service on this VM, "IP:port".
+  // Address of the engine or plain service on this VM, "IP:port".
   std::string EndpointAddress_;
-  // Held for the process's lifetime: one agent a VM (port 0 only in tests).
+  // Bound for the lifetime of the process, which ensures one agent per VM. Port
+  // 0 is for tests only.
   std::string LockListen_ = "127.0.0.1:0";
   std::string WeightsListen_ = "127.0.0.1:0";
-  // As PeerAdvertise_, for the weights listener.
+  // Like PeerAdvertise_, for the weights listener.
   std::string WeightsAdvertise_;
-  // Memory-backed folder for weights.
+  // Memory-backed directory for weights.
   std::string WeightsFolder_;
-  // Origin of weights, "IP:port".
+  // Address of the weights origin, "IP:port".
   std::string Origin_;
-  // Bytes of old versions kept for a rollback.
+  // Maximum size of old versions kept for rollback, in bytes.
   std::int64_t KeepBytes_ = std::int64_t{64} << 30;
-  // Shares of the VM's link that weights may use, bytes a second; 0 = no limit.
+  // Bandwidth limits for transfers of weights, in bytes per second; 0 means no
+  // limit.
   std::int64_t UploadRate_ = 0;
   std::int64_t DownloadRate_ = 0;
-  // Attempts run at once when the engine names no capacity.
+  // Maximum number of concurrent attempts when the engine reports no capacity.
   std::size_t Capacity_ = 16;
-  // Bytes of one attempt's answer held until the entry acknowledges them.
+  // Response bytes buffered per attempt until the entry acknowledges them.
   std::size_t AttemptBuffer_ = 4 * 1024 * 1024;
-  // How long a finished attempt can be asked after.
+  // How long the state of a finished attempt can be queried.
   Duration AttemptKeep_ = Seconds(60);
-  // Longest wait for running attempts at a planned stop.
+  // Maximum wait for running attempts at a planned shutdown.
   Duration DrainLimit_ = Seconds(600);
   Duration ReportPeriod_ = Milliseconds(500);
-  // Longest silence of the endpoint within one attempt.
+  // Maximum time without data from the endpoint within an attempt.
   Duration EndpointIdle_ = Seconds(30);
 
   static AgentSettings parse(std::string_view Text, const std::string &File);
@@ -108,51 +116,58 @@
   bool operator==(const AgentSettings &) const = default;
 };
 
-// What both processes share on a platform whose store holds configuration,
-// endpoints and wanted versions (docs/design/platform.md).
+// Settings common to both processes on a platform whose store holds the
+// configuration, the endpoints and the target versions
+// (docs/design/platform.md).
 struct StoreProcessSettings {
   ProcessName Process_;
   AvailabilityZone Zone_;
-  // The platform's store, "IP:port".
+  // Address of the platform's store, "IP:port".
   std::string Store_;
-  // Counters and histograms, "IP:port"; empty: not served.
+  // Listener for metrics, "IP:port"; empty disables it.
   std::string MetricsListen_;
   std::string LogLevel_ = "info";
   std::uint64_t RandomSeed_ = 0;
-  // The operators' bounds. Time from the store's word that a key was taken
-  // away until no request with it may be begun.
+  // The following time limits are set by the operators.
+  //
+  // From the store reporting a key as revoked until no request with that key
+  // is started.
   Duration RevokeBound_ = Milliseconds(5000);
-  // Time from the word of new weights until no request may begin on older ones.
+  // From the store reporting a new version of weights until no request is
+  // started on an older one.
   Duration VersionBound_ = Milliseconds(8000);
-  // Time from the store's word that an endpoint leaves until no request may
-  // reach it.
+  // From the store reporting that an endpoint leaves until no request is sent
+  // to it.
   Duration DrainBound_ = Milliseconds(2000);
-  // Time from the store's word of a configuration until it is in force.
+  // From the store reporting a configuration until it is in force.
   Duration ApplyBound_ = Milliseconds(2000);
-  // Time a process has between the signal to stop and its end.
+  // From the stop signal until the process has exited.
   Duration StopBound_ = Seconds(8);
   bool operator==(const StoreProcessSettings &) const = default;
 };
 
-// How an entry decides whom to serve when endpoints cannot serve all. Each
-// mechanism can be switched off by itself, to measure what it is worth.
+// How an entry schedules requests when endpoints are overloaded. Each mechanism
+// can be disabled separately, to measure its effect.
 struct EntryPolicy {
-  // Those that wait share places by customer; off: first come, first served.
+  // Queued requests share slots fairly among customers; if false, the order is
+  // first come, first served.
   bool FairByCustomer_ = true;
-  // Those that came too late to be answered in time go behind those that did
-  // not.
+  // Requests that arrive too late to meet their latency objective queue behind
+  // the others.
   bool LateGoBehind_ = true;
-  // Engines' places are asked of the agents beside them; off: chosen by what
-  // is believed of each engine.
+  // The entry requests engine slots from the engines' agents; if false, it
+  // selects engines by its own estimate of their load.
   bool AsksForPlaces_ = true;
-  // Part of its goal that a request may wait in line for a place.
+  // A request may wait for a slot for the fraction LineShare_ of its latency
+  // objective, or for LineLeast_ if that is longer.
   double LineShare_ = 0.15;
   Duration LineLeast_ = Milliseconds(50);
-  // Prompts that may stand before a request at an engine, as reading time.
+  // Maximum prefill work queued ahead of a request at an engine, as time.
   Duration MostReading_ = Milliseconds(140);
-  // How much sooner an endpoint of another zone must be expected to answer.
+  // An endpoint in another zone is preferred only if its expected response is
+  // sooner by at least this much.
   Duration CrossZoneCost_ = Milliseconds(120);
-  // Of an endpoint's places, the part that late ones may not take.
+  // Fraction of an endpoint's slots that late requests may not use.
   double KeptFromLate_ = 0.2;
   bool operator==(const EntryPolicy &) const = default;
 };
@@ -161,17 +176,20 @@
   StoreProcessSettings Common_;
   EntryPolicy Policy_;
   std::string CallerListen_ = "127.0.0.1:0";
-  // Answers the balancer's question whether this entry is ready.
+  // Listener for the load balancer's readiness checks.
   std::string ReadyListen_ = "127.0.0.1:0";
-  // Port of agents' peer listeners, the same on all VMs; 0: agents are not
-  // asked of their engines.
+  // Port of the agents' peer listeners, the same on all VMs; 0 disables queries
+  // to agents about their engines.
   std::int64_t AgentPort_ = 0;
-  // Where other entries of the zone ask this one for what the store said,
-  // "IP:port"; empty: this entry reads the store itself and is not asked.
+  // Listener through which this entry relays the store's data to other entries
+  // of its zone, "IP:port"; if empty, this entry reads the store itself and
+  // relays nothing.
   std::string PeerListen_;
-  // Bits a second of this VM's link: those with wider ones are asked first.
+  // Bandwidth of this VM's link in Mbit/s. Entries with more bandwidth are
+  // queried first.
   double LinkMbps_ = 1000;
-  // Bounds of what a service is sent beyond first arrivals, over all entries.
+  // Limits on repeated requests to a service, over all entries: the ratio to
+  // first attempts within the window, plus a constant allowance.
   double RepeatRatio_ = 0.2;
   Duration RepeatWindow_ = Seconds(10);
   double RepeatSlack_ = 100;
@@ -182,13 +200,13 @@
   bool operator==(const StoreEntrySettings &) const = default;
 };
 
-// How an agent gives out its engine's places and brings it new weights.
+// How an agent grants slots of its engine to entries.
 struct AgentPolicy {
-  // Prompts that may stand before a request at the engine, as reading time.
+  // Maximum prefill work queued ahead of a request at the engine, as time.
   Duration MostReading_ = Milliseconds(100);
-  // Part of the engine's places that is left empty.
+  // Fraction of the engine's slots that is left unused.
   double PlacesKept_ = 0;
-  // Of its places, the part that late requests may not take.
+  // Fraction of the engine's slots that late requests may not use.
   double KeptFromLate_ = 0.2;
   bool operator==(const AgentPolicy &) const = default;
 };
@@ -196,11 +214,11 @@
 struct StoreAgentSettings {
   StoreProcessSettings Common_;
   AgentPolicy Policy_;
-  // The engine beside this agent, "IP:port", and the service it is part of.
+  // The local engine, "IP:port", and the service that it belongs to.
   std::string EngineAddress_;
   ServiceName Service_;
   std::string PeerListen_ = "127.0.0.1:0";
-  // Bits a second of this VM's link.
+  // Bandwidth of this VM's link in Mbit/s.
   double LinkMbps_ = 1000;
 
   static StoreAgentSettings parse(std::string_view Text,
--- a/hawthornroad/entry/EntryTables.cpp
+++ b/hawthornroad/entry/EntryTables.cpp
@@ -65,7 +65,7 @@
              true);
   if (!Taken)
     return;
-  const RequestBounds &L = Config->limits();
+  const RequestLimits &L = Config->limits();
   SessionLimits Limits;
   Limits.HeaderBytes_ = L.HeaderBytes_;
   Limits.BodyBytes_ = L.BodyBytes_;
--- a/hawthornroad/traffic/Placement.cpp
+++ b/hawthornroad/traffic/Placement.cpp
@@ -23,7 +23,7 @@
   ByService_.clear();
   for (const auto &[Id, Each] : Set.all()) {
     const Endpoint &E = Each.Endpoint_;
-    const ServiceEntry *Service = Config.findService(E.Service_);
+    const ServiceConfig *Service = Config.findService(E.Service_);
     State &S = States_[Id];
     if (S.Endpoint_.Born_ != E.Born_) {
       // The endpoint restarted, so its recorded state is void. Attempts in
@@ -43,7 +43,7 @@
     S.Places_ = std::max(1U, E.Slots_);
     if (IsEngine) {
       S.Places_ = Service->Engine_->Slots_ + Options_.EngineQueue_;
-      S.ReadMs_ = Service->Engine_->readingMs();
+      S.ReadMs_ = Service->Engine_->meanFirstTokenMs();
     }
     std::size_t Cap = Service != nullptr ? Service->MaxConnections_ : S.Places_;
     S.Connections_ =
--- a/hawthornroad/traffic/TrafficArrival.cpp
+++ b/hawthornroad/traffic/TrafficArrival.cpp
@@ -77,7 +77,7 @@
   R.Deadline_ = std::min(R.Deadline_, Now + R.Route_->Timeout_);
   if (Config.hasCustomers()) {
     bool Holds = Lease_.holds(Now);
-    const CustomerEntry *Who =
+    const CustomerConfig *Who =
         Holds ? Config.customerOf(R.Call_.Key_) : nullptr;
     if (!R.Route_->IsPublic_ && !Holds) {
       refuse(R, status::Unavailable, Cause::KeyLeaseOver, RetryElsewhereAfter,
@@ -94,10 +94,10 @@
     }
   }
   unsigned Total = 0;
-  for (const ServiceShare &S : R.Route_->Services_)
+  for (const WeightedService &S : R.Route_->Services_)
     Total += S.Weight_;
   std::uint64_t Draw = Random_.below(std::max(1U, Total));
-  for (const ServiceShare &S : R.Route_->Services_) {
+  for (const WeightedService &S : R.Route_->Services_) {
     R.Service_ = S.Service_;
     if (Draw < S.Weight_)
       break;
@@ -113,13 +113,13 @@
 }
 
 bool TrafficCore::isLate(Record &R, TimePoint Now) {
-  if (!R.Call_.TimeLeft_ || R.Route_->Goal_ <= Duration::zero())
+  if (!R.Call_.TimeLeft_ || R.Route_->FirstByteGoal_ <= Duration::zero())
     return false;
   R.ElapsedBefore_ =
       Ages_.note(R.Route_->Name_, *R.Call_.TimeLeft_,
                  !ServiceQueues_[R.Service_].Overload_.isActive(Now), Now);
   return Options_.LateGoBehind_ &&
-         R.ElapsedBefore_ >= R.Route_->Goal_ * Options_.LateShare_;
+         R.ElapsedBefore_ >= R.Route_->FirstByteGoal_ * Options_.LateShare_;
 }
 
 Duration TrafficCore::estimatedWait(const ServiceName &Service,
@@ -165,9 +165,10 @@
     Q.MinVersion_ = minVersion(R.Service_, Now);
     if (Placement_.usable(Q) == 0)
       return giveUp(R, Cause::NoEndpoint, Now);
-    Duration Limit = std::max(Options_.LineLeast_,
-                              std::chrono::duration_cast<Duration>(
-                                  R.Route_->Goal_ * Options_.LineShare_));
+    Duration Limit =
+        std::max(Options_.LineLeast_,
+                 std::chrono::duration_cast<Duration>(R.Route_->FirstByteGoal_ *
+                                                      Options_.LineShare_));
     if (R.IsLate_ || estimatedWait(R.Service_, R) > Limit)
       return giveUp(R, Cause::LineFull, Now);
   }
--- a/hawthornroad/traffic/TrafficAttempts.cpp
+++ b/hawthornroad/traffic/TrafficAttempts.cpp
@@ -185,7 +185,7 @@
 bool TrafficCore::mayGoElsewhere(const Record &R) const {
   if (R.CallerGone_ || !R.mayRepeat())
     return false;
-  if (R.IsStreaming_ && R.Route_->Repeat_ != Repeat::FromEvent)
+  if (R.IsStreaming_ && R.Route_->Repeat_ != Repeat::FromLastEvent)
     return false;
   // Endpoints that have since been removed do not count.
   unsigned Ran = 0;
--- a/hawthornroad/traffic/TrafficCore.cpp
+++ b/hawthornroad/traffic/TrafficCore.cpp
@@ -255,16 +255,16 @@
 
 // Longest wait in the queue that leaves an engine's usual time within the goal.
 Duration TrafficCore::queueWaitLimit(const Route &R) const {
-  Duration Share =
-      std::chrono::duration_cast<Duration>(R.Goal_ * Options_.LineShare_);
+  Duration Share = std::chrono::duration_cast<Duration>(R.FirstByteGoal_ *
+                                                        Options_.LineShare_);
   return std::max(Options_.LineLeast_, Share);
 }
 
 Duration TrafficCore::callerTimeout(const Route &R) const {
   constexpr int Goals = 4;
   constexpr int Gaps = 8;
-  return std::max({Options_.CallerLeaves_, Duration(Goals * R.Goal_),
-                   Duration(Gaps * R.GapGoal_)});
+  return std::max({Options_.CallerLeaves_, Duration(Goals * R.FirstByteGoal_),
+                   Duration(Gaps * R.EventGapGoal_)});
 }
 
 TimePoint TrafficCore::callerLeavesAt(const Record &R) const {
--- a/tests/integration/BadInputTest.cpp
+++ b/tests/integration/BadInputTest.cpp
@@ -10,7 +10,7 @@
 using namespace hawthornroad;
 
 namespace {
-// Sends raw bytes and reads until the other side closes.
+// Sends raw bytes and reads until the server closes the connection.
 std::string sendRaw(const std::string &Address, const std::string &Bytes) {
   namespace asio = boost::asio;
   asio::io_context Context;
@@ -32,8 +32,8 @@
 }
 } // namespace
 
-TEST_CASE("caller that sends what can't be read gets a clear problem, and the "
-          "others are served on") {
+TEST_CASE("caller that sends a malformed request gets a problem response, and "
+          "others are still served") {
   struct Row {
     std::string Bytes_;
     std::string Status_;
--- a/tests/integration/CheckTest.cpp
+++ b/tests/integration/CheckTest.cpp
@@ -12,8 +12,8 @@
                                               "rollout", "transfer"};
 const std::vector<std::string> EntryCharts = {"claim", "member", "request"};
 
-// --check with the process's settings and charts of which one, if named, is
-// damaged.
+// Runs --check with the settings of the process and a copy of the charts, in
+// which the chart Damaged, if not empty, is invalid.
 ToolResult check(Fleet &F, const FleetProcess &P, const std::string &Damaged) {
   namespace fs = std::filesystem;
   fs::path Charts = F.folder().path() / ("charts-" + P.Name_ + Damaged);
@@ -30,8 +30,8 @@
 }
 } // namespace
 
-// An operator damages a chart, the check before the roll-out says all is well,
-// and the processes of every VM then fail at their start.
+// Guards against a check before a rollout that passes although a chart is
+// damaged: the processes of all VMs would then fail at startup.
 TEST_CASE("check, with any chart that the program uses damaged, names it",
           "[check]") {
   auto F = FleetBuilder().modelVms(0).plainVms(1).build();
--- a/tests/unit/DeclarationTest.cpp
+++ b/tests/unit/DeclarationTest.cpp
@@ -10,9 +10,10 @@
 namespace {
 const std::string Digest = "sha256:" + std::string(64, 'a');
 
-// A good text, one line a part, so that faults can be placed by line.
+// A valid declaration with one part per line, so that tests can check the lines
+// of faults.
 struct DeclarationFixture {
-  std::string Good_ =
+  std::string Valid_ =
       "{\"format\": 1,\n"                                           // 1
       "\"zones\": {\"za\": {\"region\": \"north\"}},\n"             // 2
       "\"services\": {\n"                                           // 3
@@ -34,7 +35,7 @@
     return parseDeclaration(Text, "fleet.jsonc");
   }
   std::string replaced(const std::string &From, const std::string &To) {
-    std::string Text = Good_;
+    std::string Text = Valid_;
     REQUIRE(Text.find(From) != std::string::npos);
     return Text.replace(Text.find(From), From.size(), To);
   }
@@ -55,9 +56,9 @@
 } // namespace
 
 TEST_CASE_METHOD(DeclarationFixture,
-                 "declaration, good text, has what was written",
+                 "declaration, valid text, holds the parsed values",
                  "[declaration]") {
-  auto D = parse(Good_);
+  auto D = parse(Valid_);
   const Service *Lm = D->findService(ServiceName("lm"));
   REQUIRE(Lm != nullptr);
   REQUIRE(Lm->Kind_ == ServiceKind::Model);
@@ -71,19 +72,19 @@
   REQUIRE(D->findCustomer(Customer("none")) == nullptr);
   REQUIRE(D->serviceOf(Vm("lm-07")) == Lm);
   REQUIRE(D->serviceOf(Vm("other")) == nullptr);
-  REQUIRE(*D == *parse(Good_));
+  REQUIRE(*D == *parse(Valid_));
 }
 
 TEST_CASE_METHOD(DeclarationFixture,
-                 "declaration, dependencies, come first in the order",
+                 "declaration, dependency order, puts dependencies first",
                  "[declaration]") {
-  REQUIRE(parse(Good_)->dependencyOrder() ==
+  REQUIRE(parse(Valid_)->dependencyOrder() ==
           std::vector<ServiceName>{ServiceName("desk"), ServiceName("api"),
                                    ServiceName("lm")});
 }
 
 TEST_CASE_METHOD(DeclarationFixture,
-                 "declaration, bad text, is refused with line and path",
+                 "declaration, invalid text, is rejected with line and path",
                  "[declaration]") {
   struct Case {
     std::string From_;
@@ -142,7 +143,7 @@
 }
 
 TEST_CASE_METHOD(DeclarationFixture,
-                 "declaration, several faults, are reported in one go by line",
+                 "declaration, several faults, are reported together by line",
                  "[declaration]") {
   std::string Text = replaced("[\"desk\"]", "[\"lm\"]");
   Text.replace(Text.find("\"in_flight\""), 11, "\"inflight\"");
@@ -201,7 +202,7 @@
   }
 }
 
-TEST_CASE("pattern, with stars, matches any run", "[declaration]") {
+TEST_CASE("pattern, with stars, matches any substring", "[declaration]") {
   REQUIRE(matchesPattern("lm-*", "lm-"));
   REQUIRE(matchesPattern("lm-*-a", "lm-1-a-2-a"));
   REQUIRE(matchesPattern("*", ""));
@@ -210,9 +211,10 @@
   REQUIRE_FALSE(matchesPattern("", "x"));
 }
 
-// A client is billed twice: a caller spells the invoice path in another way
-// that billing-desk takes for the same; the entry compares letter by letter,
-// holds the call for repeatable and sends it again after a lost answer.
+// Guards against billing a client twice: a caller uses another spelling of the
+// invoice path that billing-desk treats as equal. If the entry compared only
+// the literal path, it would consider the request repeatable and send it again
+// after a lost response.
 TEST_CASE("non-repeatable rule, path spelled in another way, still applies",
           "[declaration]") {
   Service S;
--- a/tests/unit/ExamplesTest.cpp
+++ b/tests/unit/ExamplesTest.cpp
@@ -17,7 +17,7 @@
 }
 } // namespace
 
-TEST_CASE("example, of Stajaliste, is valid and has the letter's sizes",
+TEST_CASE("example, of Stajaliste, is valid and has the specified sizes",
           "[examples]") {
   auto D = example("stajaliste.jsonc");
   REQUIRE(D->zones().size() == 3);
@@ -32,7 +32,7 @@
           RolloutPreference::Time);
 }
 
-TEST_CASE("example, of the Regatta, is valid and has the letter's sizes",
+TEST_CASE("example, of the Regatta, is valid and has the specified sizes",
           "[examples]") {
   auto D = example("regatta.jsonc");
   REQUIRE(D->zones().size() == 3);
--- a/tests/unit/JsonTextTest.cpp
+++ b/tests/unit/JsonTextTest.cpp
@@ -30,7 +30,7 @@
           "{\"a\":1,\"b\":[true,null,2.5E0,\"x\"]}");
 }
 
-TEST_CASE("json text, bad in any way, is refused with the line", "[json]") {
+TEST_CASE("json text, invalid, is rejected with the line", "[json]") {
   struct Case {
     std::string Text_;
     std::string Expected_;
@@ -59,7 +59,7 @@
                Contains(":2: a") && Contains(":3: b"));
 }
 
-TEST_CASE("text file, that is not there, is an error with its name", "[json]") {
+TEST_CASE("text file, missing, is an error with its name", "[json]") {
   REQUIRE_THROWS_WITH(readTextFile("/nonexistent/a.jsonc", Step::Settings),
                       Contains("/nonexistent/a.jsonc"));
 }
--- a/tests/unit/PlacementTest.cpp
+++ b/tests/unit/PlacementTest.cpp
@@ -22,16 +22,16 @@
   explicit PlacementFixture(unsigned Near, unsigned Far, unsigned Slots = 16) {
     RoutingConfig::Parts P;
     P.Version_ = 1;
-    ServiceEntry S;
+    ServiceConfig S;
     S.Name_ = Model;
     S.MaxConnections_ = 2000;
-    S.Engine_ = EnginePace{.Model_ = "m",
-                           .Slots_ = Slots,
-                           .StepMs_ = 6.7,
-                           .ReadTokensPerMs_ = 30.6,
-                           .Stride_ = 6,
-                           .UsualPrompt_ = 964,
-                           .UsualAnswer_ = 119};
+    S.Engine_ = EngineProfile{.Model_ = "m",
+                              .Slots_ = Slots,
+                              .StepMs_ = 6.7,
+                              .PrefillTokensPerMs_ = 30.6,
+                              .StepsPerPass_ = 6,
+                              .MeanPromptTokens_ = 964,
+                              .MeanAnswerTokens_ = 119};
     P.Services_.push_back(S);
     Config_ = RoutingConfig::build(std::move(P));
     for (unsigned I = 0; I < Near + Far; ++I) {
--- a/tests/unit/PlatformWireTest.cpp
+++ b/tests/unit/PlatformWireTest.cpp
@@ -54,22 +54,22 @@
   auto C = RoutingConfig::build(platform::decodeConfig(ConfigText));
   REQUIRE(C->version() == 7);
   const Route *R1 = C->match("h.example", "/a/1");
-  REQUIRE(R1->Repeat_ == Repeat::FromEvent);
+  REQUIRE(R1->Repeat_ == Repeat::FromLastEvent);
   REQUIRE(R1->IsStream_);
   REQUIRE(R1->Timeout_ == Seconds(6));
-  REQUIRE(R1->Goal_ == Milliseconds(400));
-  REQUIRE(R1->GapGoal_ == Milliseconds(300));
+  REQUIRE(R1->FirstByteGoal_ == Milliseconds(400));
+  REQUIRE(R1->EventGapGoal_ == Milliseconds(300));
   const Route *R2 = C->match("h.example", "/b/1");
-  REQUIRE(R2->Repeat_ == Repeat::Freely);
+  REQUIRE(R2->Repeat_ == Repeat::Allowed);
   REQUIRE(R2->IsPublic_);
-  REQUIRE(R2->Services_ == std::vector<ServiceShare>{{ServiceName("x"), 90},
-                                                     {ServiceName("y"), 10}});
+  REQUIRE(R2->Services_ == std::vector<WeightedService>{
+                               {ServiceName("x"), 90}, {ServiceName("y"), 10}});
   const Route *R3 = C->match("h.example", "/c/1");
   REQUIRE(R3->Repeat_ == Repeat::Never);
   REQUIRE(R3->MaxAttempts_ == 1);
-  const EnginePace &E = *C->findService(ServiceName("lm"))->Engine_;
+  const EngineProfile &E = *C->findService(ServiceName("lm"))->Engine_;
   REQUIRE(E.Slots_ == 16);
-  REQUIRE(E.ReadTokensPerMs_ == Approx(30.6));
+  REQUIRE(E.PrefillTokensPerMs_ == Approx(30.6));
   REQUIRE(E.Model_ == "m1");
   REQUIRE(E.Pieces_ == 96);
   REQUIRE(C->origin()->OriginAddress_ == "172.20.0.3:80");
--- a/tests/unit/RoutingConfigTest.cpp
+++ b/tests/unit/RoutingConfigTest.cpp
@@ -32,15 +32,15 @@
 TEST_CASE("routing configuration, asked for a route, gives the longest prefix "
           "of the host",
           "[config]") {
-  struct Row {
+  struct Case {
     std::string Host_, Path_, Expected_;
   };
   auto C = config();
-  for (const Row &R :
-       {Row{"a.example", "/x/1", "short"}, Row{"a.example", "/x/y/1", "long"},
-        Row{"A.Example:8080", "/x/y/", "long"},
-        Row{"b.example", "/x/y/1", "other"}, Row{"a.example", "/x", ""},
-        Row{"a.example", "/", ""}, Row{"c.example", "/x/1", ""}}) {
+  for (const Case &R :
+       {Case{"a.example", "/x/1", "short"}, Case{"a.example", "/x/y/1", "long"},
+        Case{"A.Example:8080", "/x/y/", "long"},
+        Case{"b.example", "/x/y/1", "other"}, Case{"a.example", "/x", ""},
+        Case{"a.example", "/", ""}, Case{"c.example", "/x/1", ""}}) {
     CAPTURE(R.Host_, R.Path_);
     const Route *Found = C->match(R.Host_, R.Path_);
     REQUIRE((Found == nullptr ? "" : Found->Name_) == R.Expected_);
--- a/tests/unit/SettingsTest.cpp
+++ b/tests/unit/SettingsTest.cpp
@@ -25,7 +25,7 @@
   return "";
 }
 
-// A text with the required members and Extra.
+// Settings with the required members and Extra.
 std::string entryWith(const std::string &Extra) {
   return "{\"process\": \"zg-entry-1\", \"zone\": \"zg-borongaj\"" +
          (Extra.empty() ? "" : ", " + Extra) + "}";
@@ -51,7 +51,7 @@
   REQUIRE(AgentSettings::parse(agentWith(""), "agent.jsonc") == Agent);
 }
 
-TEST_CASE("settings, every member given, are all taken", "[settings]") {
+TEST_CASE("settings, every member given, hold the given values", "[settings]") {
   AgentSettings S = AgentSettings::parse(
       agentWith(
           "\"peer_listen\": \"127.0.0.2:1\", \"admin_listen\": \"[::1]:2\", "
@@ -104,7 +104,8 @@
   REQUIRE(S == Expected);
 }
 
-TEST_CASE("settings, entry's own members, are all taken", "[settings]") {
+TEST_CASE("settings, entry's own members, hold the given values",
+          "[settings]") {
   EntrySettings S = EntrySettings::parse(
       entryWith("\"caller_listen\": \"0.0.0.0:80\", \"max_body\": 1, "
                 "\"max_connections\": 2, \"default_deadline_ms\": 3, "
@@ -124,7 +125,7 @@
   REQUIRE(S == Expected);
 }
 
-TEST_CASE("settings, bad entry text, is refused with line and path",
+TEST_CASE("settings, invalid entry text, is rejected with line and path",
           "[settings]") {
   struct Case {
     std::string Extra_;
@@ -153,7 +154,7 @@
   }
 }
 
-TEST_CASE("settings, bad agent text, is refused with line and path",
+TEST_CASE("settings, invalid agent text, is rejected with line and path",
           "[settings]") {
   struct Case {
     std::string Text_;
--- a/tests/unit/StoreSettingsTest.cpp
+++ b/tests/unit/StoreSettingsTest.cpp
@@ -10,10 +10,11 @@
 using namespace hawthornroad;
 using Catch::Matchers::Contains;
 
-// A platform hands its operators' figures on as they wrote them. On one
-// deployment the slack for repeats was 8.5; the reader wanted a whole number,
-// every process ended at its start, and nobody was served. On another a bound
-// of 2.5 s, with three zeros written behind it, became 2.5 ms.
+// Guards against two failures. The platform passes on the operators' values as
+// written. A repeat slack of 8.5 made every process exit at startup, because
+// the reader required an integer, and no request was served. A bound of 2.5 s
+// became 2.5 ms, because the template converted it to milliseconds by appending
+// three zeros.
 
 namespace {
 namespace json = boost::json;
@@ -21,7 +22,7 @@
 constexpr const char *Templates[] = {"platform/agent.jsonc.template",
                                      "platform/entry.jsonc.template"};
 
-// The fields that the templates name.
+// Values for all fields that the templates use.
 json::object platformFields() {
   return json::parse(R"({
     "node": "side-zg-1", "zone": "zg", "app": "10.1.0.9:8000",
@@ -37,7 +38,7 @@
       .as_object();
 }
 
-// The value at a dotted path; null when there is none.
+// The value at a dotted path; null when absent.
 const json::value *valueAt(const json::object &Fields, std::string_view Path) {
   const json::value *At = nullptr;
   const json::object *In = &Fields;
@@ -55,31 +56,31 @@
   }
 }
 
-std::string shown(const json::value *V) {
+std::string toText(const json::value *V) {
   if (V == nullptr || V->is_null())
     return "";
   return V->is_string() ? std::string(V->as_string()) : json::serialize(*V);
 }
 
-// Fills in a template as the platform does: {{a.b}} is a value, and a section
-// {{#a}} .. {{/a}} is left out where a has no value or is false.
+// Renders a template as the platform does: {{a.b}} is replaced with a value,
+// and a section {{#a}} .. {{/a}} is omitted when a is absent, null or false.
 std::string render(std::string Text, const json::object &Fields) {
   for (auto At = Text.find("{{"); At != std::string::npos;
        At = Text.find("{{", At)) {
     auto End = Text.find("}}", At);
     std::string Name = Text.substr(At + 2, End - At - 2);
     if (Name[0] != '#') {
-      Text.replace(At, End + 2 - At, shown(valueAt(Fields, Name)));
+      Text.replace(At, End + 2 - At, toText(valueAt(Fields, Name)));
       continue;
     }
     Name.erase(0, 1);
     std::string Closing = "{{/" + Name + "}}";
     auto Close = Text.find(Closing, End);
     const json::value *V = valueAt(Fields, Name);
-    bool IsOff =
+    bool IsOmitted =
         V == nullptr || V->is_null() || (V->is_bool() && !V->as_bool());
     std::string Inner = Text.substr(End + 2, Close - End - 2);
-    Text.replace(At, Close + Closing.size() - At, IsOff ? "" : Inner);
+    Text.replace(At, Close + Closing.size() - At, IsOmitted ? "" : Inner);
   }
   return Text;
 }
@@ -114,7 +115,7 @@
 }
 } // namespace
 
-TEST_CASE("store settings, rendered with usual figures, hold them in their "
+TEST_CASE("store settings, rendered with typical values, hold them in their "
           "units",
           "[settings]") {
   StoreEntrySettings Entry = entryOf(platformFields());
@@ -129,23 +130,23 @@
   CHECK(Agent.LinkMbps_ == 7.3);
 }
 
-TEST_CASE("store settings, rendered with any kind of figure, are read with its "
+TEST_CASE("store settings, rendered with any kind of number, are read in its "
           "unit",
           "[settings]") {
-  // What the platform gives, and what comes of it. "None" is the default.
-  struct Kind {
+  // The rendered value and the number that it stands for.
+  struct Input {
     const char *Given_;
-    double Figure_; // negative: none is set
+    double Number_; // negative: not set, the default applies
   };
-  const Kind Kinds[] = {{"7", 7},         {"2500", 2500},  {"2.5", 2.5},
-                        {"8.25e1", 82.5}, {"0", -1},       {"0.0", -1},
-                        {"false", -1},    {"absent", -1},  {"null", -1},
-                        {"1e18", 1e18},   {"0.0001", 1e-4}};
+  const Input Inputs[] = {{"7", 7},         {"2500", 2500},  {"2.5", 2.5},
+                          {"8.25e1", 82.5}, {"0", -1},       {"0.0", -1},
+                          {"false", -1},    {"absent", -1},  {"null", -1},
+                          {"1e18", 1e18},   {"0.0001", 1e-4}};
   struct Bound {
     const char *Name_;
     double UnitMs_;
     Duration Least_;
-    Duration (*Of_)(const StoreEntrySettings &);
+    Duration (*Get_)(const StoreEntrySettings &);
   };
   const Duration Second = Seconds(1);
   const Duration Tenth = Milliseconds(100);
@@ -164,32 +165,32 @@
        [](const auto &S) { return S.RepeatWindow_; }}};
   const Duration Longest = Seconds(30 * 86400);
   for (const Bound &B : Bounds)
-    for (const Kind &K : Kinds) {
+    for (const Input &K : Inputs) {
       INFO(B.Name_ << " = " << K.Given_);
-      Duration Got = B.Of_(entryOf(withBound(B.Name_, K.Given_)));
-      if (K.Figure_ < 0) {
-        CHECK(Got == B.Of_(StoreEntrySettings{}));
+      Duration Actual = B.Get_(entryOf(withBound(B.Name_, K.Given_)));
+      if (K.Number_ < 0) {
+        CHECK(Actual == B.Get_(StoreEntrySettings{}));
         continue;
       }
-      double Ms = std::min(K.Figure_ * B.UnitMs_, 30.0 * 86400 * 1000);
-      CHECK(Got == std::clamp(milliseconds(Ms), B.Least_, Longest));
+      double Ms = std::min(K.Number_ * B.UnitMs_, 30.0 * 86400 * 1000);
+      CHECK(Actual == std::clamp(milliseconds(Ms), B.Least_, Longest));
     }
 }
 
-TEST_CASE("store settings, rendered with a slack and a ratio of any kind, take "
-          "them as they are",
+TEST_CASE("store settings, rendered with a slack and a ratio of any kind, hold "
+          "them unchanged",
           "[settings]") {
   CHECK(entryOf(withBound("retry_slack", "8.5")).RepeatSlack_ == 8.5);
   CHECK(entryOf(withBound("retry_slack", "1e12")).RepeatSlack_ == 1e12);
   CHECK(entryOf(withBound("retry_ratio", "3")).RepeatRatio_ == 3);
   CHECK(entryOf(withBound("retry_ratio", "absent")).RepeatRatio_ == 0.2);
-  // Operators who allow no repeats mean none.
+  // Zero allows no repeats; it does not select the default.
   CHECK(entryOf(withBound("retry_slack", "0")).RepeatSlack_ == 0);
   CHECK(entryOf(withBound("retry_ratio", "0")).RepeatRatio_ == 0);
 }
 
-TEST_CASE("store settings, both programs, take each figure that the platform "
-          "may leave out",
+TEST_CASE("store settings, optional values left out by the platform, have "
+          "defaults in both programs",
           "[settings]") {
   json::object Fields = platformFields();
   Fields["bounds"].as_object().clear();
@@ -199,7 +200,7 @@
   CHECK(agentOf(Fields).LinkMbps_ == StoreAgentSettings{}.LinkMbps_);
 }
 
-TEST_CASE("store settings, given a figure without meaning, name its key and "
+TEST_CASE("store settings, given a meaningless value, name its key and "
           "line",
           "[settings]") {
   for (const char *Given : {"true", "{}", "[1]", "-1"}) {
@@ -208,20 +209,20 @@
         render(templateText(Templates[1]), withBound("retry_slack", Given));
     try {
       StoreEntrySettings::parse(Text, "entry.jsonc");
-      FAIL("it was taken");
+      FAIL("the value was accepted");
     } catch (const TextError &E) {
-      std::string Said = describeFaults("entry.jsonc", E.faults());
+      std::string Message = describeFaults("entry.jsonc", E.faults());
       auto Key = Text.find("\"repeat_slack\"");
       auto Line =
           1 + std::count(Text.begin(),
                          Text.begin() + static_cast<std::ptrdiff_t>(Key), '\n');
-      CHECK_THAT(Said, Contains("repeat_slack"));
-      CHECK_THAT(Said, Contains(std::to_string(Line)));
+      CHECK_THAT(Message, Contains("repeat_slack"));
+      CHECK_THAT(Message, Contains(std::to_string(Line)));
     }
   }
 }
 
-TEST_CASE("store settings, given a bound in both units, name the second",
+TEST_CASE("store settings, given a bound in both units, are rejected",
           "[settings]") {
   std::string Text = render(templateText(Templates[1]), platformFields());
   Text.insert(Text.find("\"process\""), "\"stop_bound_ms\": 8000, ");
--- a/tests/unit/TrafficFixture.h
+++ b/tests/unit/TrafficFixture.h
@@ -90,8 +90,8 @@
   Out.Repeat_ = R;
   Out.IsStream_ = IsStream;
   Out.Timeout_ = Milliseconds(1500);
-  Out.Goal_ = Milliseconds(150);
-  Out.GapGoal_ = Milliseconds(300);
+  Out.FirstByteGoal_ = Milliseconds(150);
+  Out.EventGapGoal_ = Milliseconds(300);
   Out.MaxAttempts_ = 2;
   Out.Services_ = {{S, 1}};
   return Out;
@@ -100,17 +100,17 @@
 inline RoutingConfig::Parts parts(std::uint64_t Version = 1) {
   RoutingConfig::Parts P;
   P.Version_ = Version;
-  P.Routes_ = {route("/safe/", Api, Repeat::Freely, false),
+  P.Routes_ = {route("/safe/", Api, Repeat::Allowed, false),
                route("/once/", Api, Repeat::Never, false),
-               route("/stream/", Model, Repeat::FromEvent, true)};
+               route("/stream/", Model, Repeat::FromLastEvent, true)};
   P.Routes_[2].Timeout_ = Seconds(6);
   P.Services_.push_back({.Name_ = Api, .MaxConnections_ = 1000});
-  ServiceEntry S{.Name_ = Model, .MaxConnections_ = 1000};
-  S.Engine_ = EnginePace{.Model_ = "m",
-                         .Slots_ = 2,
-                         .StepMs_ = 6.7,
-                         .ReadTokensPerMs_ = 30,
-                         .UsualPrompt_ = 900};
+  ServiceConfig S{.Name_ = Model, .MaxConnections_ = 1000};
+  S.Engine_ = EngineProfile{.Model_ = "m",
+                            .Slots_ = 2,
+                            .StepMs_ = 6.7,
+                            .PrefillTokensPerMs_ = 30,
+                            .MeanPromptTokens_ = 900};
   P.Services_.push_back(S);
   P.Customers_.push_back({Customer("zet"), {"key"}, std::nullopt});
   P.Customers_.push_back({Customer("libertas"), {"other-key"}, std::nullopt});
