--- a/hawthornroad/routing/Admission.cpp
+++ b/hawthornroad/routing/Admission.cpp
@@ -17,10 +17,10 @@
 // The customer whose limits apply to all callers that are not declared.
 const Customer DefaultCustomer("default");
 
-// A balancer spreads connections, not requests, so one customer's traffic
-// reaches entries unevenly. Each entry therefore allows twice the even share.
-// The bound over a fleet of N entries: twice the limit, and one request more
-// for each entry whose share rounds up to one.
+// A load balancer distributes connections, not requests, so a customer's
+// traffic reaches entries unevenly. Each entry therefore allows twice the even
+// share. The limit over a fleet of N entries is twice the declared one, plus
+// one request for each entry whose share rounds up to one.
 constexpr double UnevenFactor = 2;
 
 double shareOf(double Limit, std::size_t LiveEntries) {
@@ -28,7 +28,7 @@
   return std::min(Limit, Share);
 }
 
-// What one customer may do at this entry, and does.
+// One customer's limits and usage at this entry.
 struct Account {
   explicit Account(const CustomerLimits &L, std::size_t LiveEntries)
       : Bucket_(0, 0) {
@@ -37,8 +37,8 @@
   }
 
   void apply(const CustomerLimits &L, std::size_t LiveEntries) {
-    constexpr double LeastWeight = 1e-3;
-    Weight_ = std::max(L.Weight_, LeastWeight);
+    constexpr double MinWeight = 1e-3;
+    Weight_ = std::max(L.Weight_, MinWeight);
     Burst_ = std::max(1.0, shareOf(L.Burst_, LiveEntries));
     double Places = shareOf(static_cast<double>(L.InFlight_), LiveEntries);
     InFlightLimit_ = static_cast<std::size_t>(std::max(1.0, std::ceil(Places)));
@@ -60,7 +60,7 @@
   FairQueue Queue_;
   ServiceRate Rate_;
   ReturnTimes Returns_;
-  // Taken from the queue too late to be worth starting; expire() refuses them.
+  // Dequeued too late to meet their deadlines; expire() refuses them.
   std::vector<FairQueue::Item> TooLate_;
 };
 
@@ -111,7 +111,7 @@
                  std::string Detail, TimePoint Now);
   void enqueue(const Request &R, const Customer &Name, ServiceState &S,
                Account &A);
-  // Forgets a request that waits no longer and runs nowhere.
+  // Removes the record of a request that is neither queued nor running.
   void forget(const FairQueue::Item &I);
   void expireService(const ServiceName &Name, ServiceState &S, TimePoint Now,
                      std::vector<Refusal> &Out);
@@ -143,7 +143,8 @@
     S.QueueLimit_ = Declared.Limits_.Queue_;
     S.Declared_ = true;
   }
-  // What is gone from the declaration stays only while requests hold it.
+  // Customers and services removed from the declaration are kept only while
+  // requests use them.
   std::erase_if(State_->Accounts_, [&](const auto &Entry) {
     return !D->customers().contains(Entry.first) &&
            Entry.second.InProgress_ == 0;
@@ -156,8 +157,8 @@
   State_->Declaration_ = std::move(D);
 }
 
-// Name becomes the name of the account: the customer's own, or that of the
-// default customer, which all undeclared callers share.
+// Sets Name to the account's name: the customer's own, or that of the default
+// customer, which all undeclared callers share.
 Account *Admission::State::accountOf(const Customer &C, Customer &Name) {
   if (!Declaration_)
     return nullptr;
@@ -187,7 +188,7 @@
   return Out;
 }
 
-// The checks that need no place in the queue, cheapest and most certain first.
+// The checks that do not depend on the queue, cheapest and most certain first.
 std::optional<Refusal>
 Admission::State::refuseEarly(const Request &R, const Load &L, ServiceState *S,
                               Account *A, TimePoint Now) {
@@ -230,7 +231,7 @@
 
 Admission::Answer Admission::offer(const Request &R, const Load &L,
                                    TimePoint Now) {
-  // Offered twice: it has its place or its turn already.
+  // A duplicate offer: the request is already queued or admitted.
   if (State_->Records_.contains(R.Id_))
     return {.Kind_ = Verdict::Queue};
   Customer Name;
@@ -241,7 +242,7 @@
     return {.Kind_ = Verdict::Refuse, .Refusal_ = std::move(*Early)};
 
   if (L.HasRoom_ && S->Queue_.empty()) {
-    // Through the queue, so that the customer's virtual time counts it.
+    // Passes through the queue so that the customer's virtual time advances.
     A->Bucket_.take(Now);
     State_->enqueue(R, Name, *S, *A);
     S->Queue_.pop();
@@ -282,8 +283,8 @@
     return std::nullopt;
   ServiceState &S = Found->second;
   while (auto Item = S.Queue_.pop()) {
-    // A place spent on an answer that comes too late is lost for one that
-    // would have come in time.
+    // A place used for an answer that comes too late is lost to a request that
+    // could still meet its deadline.
     if (isLate(*Item, S.Rate_, Now)) {
       S.TooLate_.push_back(std::move(*Item));
       continue;
--- a/hawthornroad/routing/Admission.h
+++ b/hawthornroad/routing/Admission.h
@@ -1,30 +1,30 @@
-// Decides which requests enter, which wait, which are refused at once.
+// Decides which requests are admitted, queued or rejected on arrival.
 //
 //   Admission A{Random(Seed)};
 //   A.configure(Declaration, LiveEntries);
 //   switch (A.offer(Request, Load, Now).Kind_) {
 //   case Verdict::Admit:  dispatch
-//   case Verdict::Queue:  wait until next() names it
+//   case Verdict::Queue:  wait until next() returns it
 //   case Verdict::Refuse: answer not-run with RetryAfter_
 //   }
-//   while (auto Id = A.next(Service, Now))       // when a place came free
+//   while (auto Id = A.next(Service, Now))       // when a place is freed
 //     dispatch(*Id);
-//   if (endpointRefused) A.requeue(Id);          // it did not run: wait again
+//   if (endpointRefused) A.requeue(Id);          // it did not run: queue again
 //   for (const auto &Out : A.expire(Now)) refuse(Out);
 //
-// The idea. Each customer has a token bucket and a bound of requests in
-// progress, divided by the number of live entries; as traffic reaches entries
-// unevenly each may use twice its even share, so that the fleet's bound is
-// twice the declared one. Waiting requests stand in one queue a service, served
-// by start-time fair queueing: within a priority class, customers get places in
-// proportion to their weights; classes are served in order, yet a lower class
-// keeps a small guaranteed share. A request whose deadline cannot be met by the
-// backlog before it is refused on arrival, as is the one that would wait
-// longest when the queue is full (the most backlogged customer's latest, not
-// the newcomer, when those differ). RetryAfter is the time the backlog needs to
-// drain, jittered, so that refused callers do not come back together.
+// Each customer has a token bucket and a limit of requests in progress, both
+// divided by the number of live entries. Because traffic reaches entries
+// unevenly, each entry may use twice its even share, so the fleet's limit is
+// twice the declared one. Each service has one queue, served by start-time fair
+// queueing: within a priority class, customers get places in proportion to
+// their weights. Classes are served in order, but a lower class keeps a small
+// guaranteed share. A request is refused on arrival when the backlog before it
+// makes its deadline unreachable. When the queue is full, the request with the
+// longest expected wait is refused: the latest of the customer with the largest
+// backlog, which need not be the new one. RetryAfter is the time the backlog
+// needs to drain, with jitter, so that refused callers do not retry in step.
 //
-// No I/O, no clock, no threads. Bounds: the declared queue per service.
+// No I/O, no clock, no threads. Limit: the declared queue length per service.
 
 #ifndef HAWTHORNROAD_ROUTING_ADMISSION_H
 #define HAWTHORNROAD_ROUTING_ADMISSION_H
@@ -60,7 +60,7 @@
   RequestId Request_;
   RefusalCause Cause_ = RefusalCause::QueueFull;
   Duration RetryAfter_ = Duration::zero();
-  // For people: which customer, service or dependency.
+  // For humans: the customer, service or dependency concerned.
   std::string Detail_;
   bool operator==(const Refusal &) const = default;
 };
@@ -75,7 +75,7 @@
     TimePoint Deadline_;
     bool operator==(const Request &) const = default;
   };
-  // What the chooser knows of the service at this moment.
+  // The chooser's current view of the service.
   struct Load {
     bool HasRoom_ = false;
     std::size_t ReadyEndpoints_ = 0;
@@ -98,23 +98,25 @@
   void configure(std::shared_ptr<const Declaration> D, std::size_t LiveEntries);
 
   Answer offer(const Request &R, const Load &L, TimePoint Now);
-  // The next waiting request of the service in fair order; it counts as
-  // admitted. Call only when there is room.
+  // Dequeues the service's next request in fair order and counts it as
+  // admitted. Call only when there is a free place.
   std::optional<RequestId> next(const ServiceName &Service, TimePoint Now);
-  // An endpoint refused the admitted request's attempt, which did not run: the
-  // request waits again, as its customer's next. False when it is not admitted.
+  // Puts an admitted request back at the head of its customer's queue after an
+  // endpoint refused its attempt, which did not run. Returns false when the
+  // request is not admitted.
   bool requeue(RequestId Id);
-  // An admitted request ended after Took (dispatch to end); waiting ones are
-  // taken out. Unknown ids are ignored.
+  // Records that an admitted request ended after Took (dispatch to end), or
+  // removes a queued one. Unknown ids are ignored.
   void finished(RequestId Id, Duration Took, TimePoint Now);
-  // Waiting requests whose deadline passed, or can no longer be met.
+  // Removes and returns the queued requests whose deadline has passed or can no
+  // longer be met.
   std::vector<Refusal> expire(TimePoint Now);
 
   std::size_t waiting(const ServiceName &Service) const;
-  // Requests of the customer that are admitted or wait.
+  // The customer's admitted and queued requests.
   std::size_t inProgress(const Customer &C) const;
-  // The time to come back for a refusal decided elsewhere (no endpoint, a
-  // platform outage): backlog-based and jittered, at least 200 ms.
+  // The retry delay for a refusal decided elsewhere (no endpoint, a platform
+  // outage): based on the backlog, jittered, at least 200 ms.
   Duration retryAfter(const ServiceName &Service, TimePoint Now);
 
 private:
--- a/hawthornroad/routing/AnswerBuffer.h
+++ b/hawthornroad/routing/AnswerBuffer.h
@@ -1,15 +1,15 @@
-// The bytes of one answer that its entry has not acknowledged yet.
+// Holds the bytes of one answer until its entry acknowledges them.
 //
 //   AnswerBuffer B;
 //   B.append(Bytes);                 // offset grows by Bytes.size()
 //   for (const AnswerPiece &P : B.from(Offset)) send(P.Offset_, P.Bytes_);
-//   B.acknowledge(Offset);           // may be forgotten
+//   B.acknowledge(Offset);           // bytes before Offset may be freed
 //
-// A connection can die with bytes in flight, so an answer is kept until the
-// other side says it has it; then it goes on from any unacknowledged offset.
-// append() never refuses: the owner watches held() and stops reading from the
-// endpoint, so only bytes already read can exceed its limit.
-// Length and hash run over the whole answer, acknowledged bytes included.
+// A connection can fail with bytes in flight, so bytes are kept until the other
+// side confirms them; transmission can then resume at any unacknowledged
+// offset. append() never refuses: the owner watches held() and stops reading
+// from the endpoint, so only bytes already read can exceed its limit.
+// Length and hash cover the whole answer, acknowledged bytes included.
 
 #ifndef HAWTHORNROAD_ROUTING_ANSWERBUFFER_H
 #define HAWTHORNROAD_ROUTING_ANSWERBUFFER_H
@@ -33,13 +33,13 @@
 public:
   // Returns the offset of the first byte appended.
   std::uint64_t append(std::string Bytes);
-  // Frees the bytes before Offset. Acknowledgements may come late, twice and
-  // out of order; one beyond the answer's length counts as its length.
+  // Frees the bytes before Offset. Acknowledgements may arrive late, duplicated
+  // and out of order; one beyond the answer's length counts as its length.
   void acknowledge(std::uint64_t Offset);
-  // Frees all bytes held; length and hash stay.
+  // Frees all bytes held; length and hash are kept.
   void drop();
 
-  // What is held from Offset on, in order. Offset may lie inside a piece.
+  // The held bytes from Offset on, in order. Offset may lie inside a piece.
   std::vector<AnswerPiece> from(std::uint64_t Offset) const;
   // Whether every byte from Offset to the end is still held.
   bool holds(std::uint64_t Offset) const { return Offset >= Begin_; }
--- a/hawthornroad/routing/AttemptAdmission.cpp
+++ b/hawthornroad/routing/AttemptAdmission.cpp
@@ -9,8 +9,9 @@
 
 constexpr Duration MinRetryAfter = Milliseconds(20);
 constexpr Duration MaxRetryAfter = Seconds(5);
-// The version changes in seconds, a drained endpoint does not come back soon:
-// the entry tries another endpoint meanwhile.
+// For refusals other than overload: a version change takes seconds and a
+// drained endpoint does not return soon, so the entry tries another endpoint
+// meanwhile.
 constexpr Duration NotHereRetryAfter = Seconds(1);
 constexpr unsigned ServiceUnavailable = 503;
 constexpr unsigned FirstErrorStatus = 300;
@@ -47,7 +48,7 @@
     return Duration::zero();
   if (Reason != AttemptRefusal::Overloaded)
     return NotHereRetryAfter;
-  // One place comes free this often.
+  // The mean interval at which a place is freed.
   Duration Wait =
       MeanRun / static_cast<int>(std::max<std::size_t>(Facts.Capacity_, 1));
   return std::clamp<Duration>(Wait, MinRetryAfter, MaxRetryAfter);
--- a/hawthornroad/routing/AttemptMessages.h
+++ b/hawthornroad/routing/AttemptMessages.h
@@ -1,5 +1,5 @@
-// What the agent's side of a request hears and says: the events and actions of
-// AttemptTable, as value types free of any transport.
+// The events and actions of AttemptTable, the agent's side of a request, as
+// value types independent of any transport.
 
 #ifndef HAWTHORNROAD_ROUTING_ATTEMPTMESSAGES_H
 #define HAWTHORNROAD_ROUTING_ATTEMPTMESSAGES_H
@@ -16,7 +16,7 @@
 
 namespace hawthornroad {
 
-// The connection on which an entry speaks; NoRequester when it is lost.
+// The connection from an entry; NoRequester when it is lost.
 using RequesterId = std::uint64_t;
 constexpr RequesterId NoRequester = 0;
 
@@ -34,14 +34,14 @@
 // Same order as wire::AttemptPhase.
 enum class AttemptPhase : std::uint8_t { NeverSeen, Running, Finished };
 
-// What admission needs to know of an attempt; the call itself stays with the
-// runtime.
+// The properties of an attempt that admission needs; the call itself is held by
+// the runtime.
 struct AttemptSpec {
   AttemptId Attempt_;
   RequestId Request_;
   ServiceName Service_;
   Customer Customer_;
-  // The version the request is pinned to; empty takes the one loaded.
+  // The version the request is pinned to; empty means the one loaded.
   VersionDigest Version_;
   Priority Priority_ = Priority::Normal;
   bool Repeatable_ = false;
@@ -60,12 +60,12 @@
 struct AnswerHead {
   unsigned Status_ = 0;
   std::vector<AnswerHeader> Headers_;
-  // The version the engine says it answered with; empty when it names none.
+  // The version the engine reports in its answer; empty when it reports none.
   VersionDigest Version_;
   bool operator==(const AnswerHead &) const = default;
 };
 
-// Why an accepted attempt has no whole answer.
+// Why an accepted attempt has no complete answer.
 struct AttemptFailure {
   // True only when nothing of the request ran.
   bool NotRun_ = false;
@@ -75,13 +75,13 @@
   bool operator==(const AttemptFailure &) const = default;
 };
 
-// The endpoint as admission sees it.
+// The state of the endpoint that admission uses.
 struct EndpointFacts {
   ServiceName Service_;
   bool IsModel_ = false;
   EndpointPhase Phase_ = EndpointPhase::Starting;
   VersionDigest Version_;
-  // Attempts run at once.
+  // Attempts that run concurrently.
   std::size_t Capacity_ = 1;
   // Shortest useful time: one step of the engine, one call of a service.
   Duration Step_ = Duration::zero();
@@ -94,7 +94,8 @@
   AttemptSpec Spec_;
   RequesterId From_ = NoRequester;
 };
-// A Begin for which the process had no room: refuse it, unless its twin runs.
+// A Begin dropped because a queue of the process was full: it is refused,
+// unless the same attempt is already known.
 struct BeginDropped {
   AttemptId Attempt_;
   RequesterId From_ = NoRequester;
@@ -124,7 +125,7 @@
   AttemptId Attempt_;
   std::string Bytes_;
 };
-// The run is over: whole, or broken off with an error.
+// The run has ended: complete, or aborted with an error.
 struct RunEnded {
   AttemptId Attempt_;
   std::optional<Error> Error_;
@@ -138,12 +139,12 @@
   AttemptId Attempt_;
   bool operator==(const StartRun &) const = default;
 };
-// Break off the run at the endpoint and tell it to stop working.
+// Abort the run and tell the endpoint to stop working.
 struct StopRun {
   AttemptId Attempt_;
   bool operator==(const StopRun &) const = default;
 };
-// Take no more bytes from the endpoint, until ResumeRun.
+// Stop reading from the endpoint until ResumeRun.
 struct PauseRun {
   AttemptId Attempt_;
   bool operator==(const PauseRun &) const = default;
@@ -152,7 +153,8 @@
   AttemptId Attempt_;
   bool operator==(const ResumeRun &) const = default;
 };
-// The answer's bytes before Offset_ are freed: that much more may be read.
+// The answer's bytes before Offset_ have been freed, so as many more may be
+// read.
 struct ReleaseRun {
   AttemptId Attempt_;
   std::uint64_t Offset_;
@@ -204,7 +206,7 @@
   AttemptFailure Failure_;
   bool operator==(const SendFailed &) const = default;
 };
-// For logs and metrics: an accepted attempt is over at the endpoint.
+// For logs and metrics: an accepted attempt has ended at the endpoint.
 struct AttemptEnded {
   AttemptSpec Spec_;
   std::optional<AttemptFailure> Failure_;
--- a/hawthornroad/routing/AttemptStream.cpp
+++ b/hawthornroad/routing/AttemptStream.cpp
@@ -2,8 +2,8 @@
 
 namespace hawthornroad {
 
-void AttemptStream::take(std::uint64_t Offset, std::string_view Bytes,
-                         std::string &Out) {
+void AttemptStream::consume(std::uint64_t Offset, std::string_view Bytes,
+                            std::string &Out) {
   std::uint64_t Known = Offset_ - Offset;
   if (Known >= Bytes.size())
     return;
@@ -16,16 +16,16 @@
 std::string AttemptStream::data(std::uint64_t Offset, std::string_view Bytes) {
   std::string Out;
   if (Offset > Offset_) {
-    bool Fits = AheadBytes_ + Bytes.size() <= MaxAhead;
-    if (Fits && Ahead_.emplace(Offset, Bytes).second)
-      AheadBytes_ += Bytes.size();
+    bool Fits = OutOfOrderBytes_ + Bytes.size() <= MaxAhead;
+    if (Fits && OutOfOrder_.emplace(Offset, Bytes).second)
+      OutOfOrderBytes_ += Bytes.size();
     return Out;
   }
-  take(Offset, Bytes, Out);
-  while (!Ahead_.empty() && Ahead_.begin()->first <= Offset_) {
-    auto Next = Ahead_.extract(Ahead_.begin());
-    AheadBytes_ -= Next.mapped().size();
-    take(Next.key(), Next.mapped(), Out);
+  consume(Offset, Bytes, Out);
+  while (!OutOfOrder_.empty() && OutOfOrder_.begin()->first <= Offset_) {
+    auto Next = OutOfOrder_.extract(OutOfOrder_.begin());
+    OutOfOrderBytes_ -= Next.mapped().size();
+    consume(Next.key(), Next.mapped(), Out);
   }
   return Out;
 }
@@ -36,7 +36,7 @@
 }
 
 bool AttemptStream::hasGap() const {
-  return !Ahead_.empty() || (End_ && Offset_ < End_->Length_);
+  return !OutOfOrder_.empty() || (End_ && Offset_ < End_->Length_);
 }
 
 bool AttemptStream::isWhole() const {
--- a/hawthornroad/routing/AttemptStream.h
+++ b/hawthornroad/routing/AttemptStream.h
@@ -1,4 +1,5 @@
-// Puts the bytes of one attempt's answer in order and tells when it is whole.
+// Reassembles the bytes of one attempt's answer and reports when it is
+// complete.
 //
 //   AttemptStream S;
 //   S.data(3, "def");          // kept: bytes 0..2 are missing
@@ -7,14 +8,14 @@
 //   S.end(6, Hash);
 //   S.isWhole();               // length and hash agree
 //
-// The idea. Frames carry the offset of their first byte, so late, doubled and
-// reordered ones, and those sent again after a query, all find their place.
-// The end states length and FNV-1a hash of the whole; only when both agree with
-// what was passed on in order is an answer whole. A body that disagrees is
-// corrupt: isCorrupt() is then true for good.
+// Each frame carries the offset of its first byte, so late, duplicated and
+// reordered frames, and those retransmitted after a query, are put in order.
+// The end frame states the length and FNV-1a hash of the answer, which is
+// complete only when both match the bytes passed on. A mismatch marks it as
+// corrupt: isCorrupt() then stays true.
 //
-// Bound: at most MaxAhead bytes wait for a gap; frames beyond are dropped and
-// must be asked for again from offset().
+// Limit: at most MaxAhead bytes are buffered behind a gap; frames beyond that
+// are dropped and must be requested again from offset().
 
 #ifndef HAWTHORNROAD_ROUTING_ATTEMPTSTREAM_H
 #define HAWTHORNROAD_ROUTING_ATTEMPTSTREAM_H
@@ -33,13 +34,13 @@
 public:
   static constexpr std::size_t MaxAhead = 1024 * 1024;
 
-  // Returns the bytes that are in order by now and were not returned before.
+  // Returns the bytes that are now contiguous and were not returned before.
   std::string data(std::uint64_t Offset, std::string_view Bytes);
   void end(std::uint64_t Length, std::uint64_t Hash);
 
-  // Bytes returned so far: the offset to ask from.
+  // Bytes returned so far: the offset to resume from.
   std::uint64_t offset() const { return Offset_; }
-  // Whether a later byte or the end came while an earlier byte is missing.
+  // Whether a later byte or the end arrived while an earlier byte is missing.
   bool hasGap() const;
   bool isWhole() const;
   bool isCorrupt() const;
@@ -49,12 +50,12 @@
     std::uint64_t Length_ = 0;
     std::uint64_t Hash_ = 0;
   };
-  void take(std::uint64_t Offset, std::string_view Bytes, std::string &Out);
+  void consume(std::uint64_t Offset, std::string_view Bytes, std::string &Out);
 
   std::uint64_t Offset_ = 0;
   Fnv1a Hash_;
-  std::map<std::uint64_t, std::string> Ahead_;
-  std::size_t AheadBytes_ = 0;
+  std::map<std::uint64_t, std::string> OutOfOrder_;
+  std::size_t OutOfOrderBytes_ = 0;
   std::optional<Ending> End_;
 };
 
--- a/hawthornroad/routing/AttemptTable.cpp
+++ b/hawthornroad/routing/AttemptTable.cpp
@@ -62,7 +62,7 @@
 
 struct AttemptTable::Attempt {
   Attempt(AttemptSpec Spec, RequesterId From, TimePoint Now)
-      : Spec_(std::move(Spec)), Requester_(From), Begun_(Now) {}
+      : Spec_(std::move(Spec)), Requester_(From), StartedAt_(Now) {}
 
   AttemptSpec Spec_;
   State State_ = State::Running;
@@ -70,17 +70,17 @@
   AnswerBuffer Buffer_;
   std::optional<AnswerHead> Head_;
   std::optional<AttemptFailure> Failure_;
-  TimePoint Begun_;
+  TimePoint StartedAt_;
   std::optional<TimePoint> FirstByte_;
-  // Since when nobody listens.
+  // When the requester was lost.
   std::optional<TimePoint> OrphanedSince_;
-  // What the event at hand is about.
+  // Parameters of the event being handled.
   std::uint64_t QueryOffset_ = 0;
   std::uint64_t DataOffset_ = 0;
 };
 
 AttemptTable::AttemptTable(Chart C, AttemptLimits L)
-    : Chart_(std::move(C)), Limits_(L), Past_(L.Remember_, L.MaxPast_) {}
+    : Chart_(std::move(C)), Limits_(L), Past_(L.IdRetention_, L.MaxPast_) {}
 
 AttemptTable::~AttemptTable() = default;
 
@@ -92,9 +92,9 @@
       SendRefused{From, Attempt, Reason, retryAfter(Reason, Facts_, MeanRun_)}};
 }
 
-AttemptActions AttemptTable::repeatFate(const AttemptId &Attempt,
-                                        const PastAttempts::Fate &Fate,
-                                        RequesterId From, TimePoint Now) {
+AttemptActions AttemptTable::repeatOutcome(const AttemptId &Attempt,
+                                           const PastAttempts::Fate &Fate,
+                                           RequesterId From, TimePoint Now) {
   if (Fate.Refusal_)
     return refuse(Attempt, *Fate.Refusal_, From, Now);
   return {SendFailed{From, Attempt, answerDropped()}};
@@ -102,11 +102,11 @@
 
 AttemptActions AttemptTable::handle(const BeginReceived &E, TimePoint Now) {
   const AttemptId &Id = E.Spec_.Attempt_;
-  // A doubled Begin: the first one runs, and its requester stays.
+  // A duplicate Begin: the first one runs and keeps its requester.
   if (Attempts_.contains(Id))
     return {};
   if (auto Fate = Past_.find(Id))
-    return repeatFate(Id, *Fate, E.From_, Now);
+    return repeatOutcome(Id, *Fate, E.From_, Now);
   if (auto Reason =
           refusalOf(E.Spec_, Facts_, Limits_, {Running_.size(), BodyBytes_}))
     return refuse(Id, *Reason, E.From_, Now);
@@ -123,7 +123,7 @@
   if (Attempts_.contains(E.Attempt_))
     return {};
   if (auto Fate = Past_.find(E.Attempt_))
-    return repeatFate(E.Attempt_, *Fate, E.From_, Now);
+    return repeatOutcome(E.Attempt_, *Fate, E.From_, Now);
   return refuse(E.Attempt_, AttemptRefusal::Overloaded, E.From_, Now);
 }
 
@@ -240,7 +240,7 @@
   for (std::size_t Each : Taken.Actions_)
     perform(A, Each, Out);
   if (WasRunning && !isRunning(A.State_))
-    settle(A, Now, Out);
+    finishRun(A, Now, Out);
   return Out;
 }
 
@@ -258,14 +258,14 @@
     Out.push_back(StopRun{Id});
     return;
   default:
-    // Nobody listens: what is to be said waits for a query.
+    // Without a requester nothing is sent; a later query fetches it.
     if (A.Requester_ != NoRequester)
-      say(A, Which, Out);
+      sendAnswer(A, Which, Out);
   }
 }
 
-void AttemptTable::say(const Attempt &A, std::size_t Which,
-                       AttemptActions &Out) const {
+void AttemptTable::sendAnswer(const Attempt &A, std::size_t Which,
+                              AttemptActions &Out) const {
   const AttemptId &Id = A.Spec_.Attempt_;
   RequesterId To = A.Requester_;
   switch (static_cast<Action>(Which)) {
@@ -298,18 +298,18 @@
   }
 }
 
-// The run is over: its room is free, its answer is kept for a while.
-void AttemptTable::settle(Attempt &A, TimePoint Now, AttemptActions &Out) {
+// Frees the capacity of a run that has ended and keeps its answer for a while.
+void AttemptTable::finishRun(Attempt &A, TimePoint Now, AttemptActions &Out) {
   const AttemptId &Id = A.Spec_.Attempt_;
   Running_.erase(Id);
   BodyBytes_ -= A.Spec_.BodyBytes_;
-  Duration RunTime = Now - A.Begun_;
+  Duration RunTime = Now - A.StartedAt_;
   MeanRun_ += (RunTime - MeanRun_) / MeanRunWeight;
   AttemptEnded Ended{
       A.Spec_, A.Failure_,  A.Head_ ? A.Head_->Status_ : 0, A.Buffer_.length(),
       RunTime, std::nullopt};
   if (A.FirstByte_)
-    Ended.FirstByte_ = *A.FirstByte_ - A.Begun_;
+    Ended.FirstByte_ = *A.FirstByte_ - A.StartedAt_;
   Out.push_back(std::move(Ended));
   if (A.State_ == State::Failed)
     A.Buffer_.drop();
@@ -332,8 +332,8 @@
   return Freed;
 }
 
-// Entries that died never acknowledge: the oldest answers give way first, and
-// whoever still asks is told that the answer is gone.
+// Entries that failed never acknowledge, so the oldest answers are dropped
+// first; a later query is told that the answer is no longer held.
 void AttemptTable::boundFinished(TimePoint Now) {
   while (FinishedOrder_.size() > Limits_.MaxFinished_)
     forgetOldest(Now);
@@ -363,14 +363,14 @@
   return fire(A, Event::GiveUp, Now);
 }
 
-// Why a running attempt has no use any more. An attempt that may not be
-// repeated is let run: nobody can try it elsewhere, and its outcome can still
-// be asked for. Only when its answer fills the buffer and the one who asked
-// can no longer be waiting is it given up, or it would hold its place for
-// good.
-std::optional<std::string> AttemptTable::overdue(const Attempt &A,
-                                                 TimePoint Now) const {
-  bool Late = Now >= A.Begun_ + A.Spec_.Deadline_ + Limits_.DeadlineGrace_;
+// Why a running attempt should be aborted; nullopt when it should continue. A
+// non-repeatable attempt continues because it cannot be retried elsewhere and
+// its outcome can still be queried. It is aborted only when its answer fills
+// the buffer and its deadline has passed; otherwise it would occupy its place
+// forever.
+std::optional<std::string> AttemptTable::abandonReason(const Attempt &A,
+                                                       TimePoint Now) const {
+  bool Late = Now >= A.StartedAt_ + A.Spec_.Deadline_ + Limits_.DeadlineGrace_;
   if (!A.Spec_.Repeatable_) {
     if (Late && A.State_ == State::Paused)
       return "deadline passed with the answer not fetched";
@@ -387,7 +387,7 @@
   AttemptActions Out;
   for (const AttemptId &Id : runningIds()) {
     Attempt &A = Attempts_.at(Id);
-    std::optional<std::string> Why = overdue(A, Now);
+    std::optional<std::string> Why = abandonReason(A, Now);
     if (!Why)
       continue;
     AttemptActions More = giveUp(A, *Why, Now);
--- a/hawthornroad/routing/AttemptTable.h
+++ b/hawthornroad/routing/AttemptTable.h
@@ -1,5 +1,5 @@
-// The agent's side of every request: which attempts run at this VM's endpoint,
-// what each has answered, and who is listening.
+// The agent's side of every request: the attempts that run at this VM's
+// endpoint, their answers, and the connections that receive them.
 //
 //   AttemptTable Table(attemptChart("charts"), {.Buffer_ = 4 << 20});
 //   Table.setEndpoint(Facts);                       // phase, version, capacity
@@ -8,27 +8,28 @@
 //   Actions = Table.handle(DataReceived{Attempt, Bytes}, Now);
 //   Actions = Table.tick(Now);
 //
-// The life of one attempt is charts/attempt.json. What holds:
+// The state machine of one attempt is charts/attempt.json. Guarantees:
 // - A Begin runs at most once, however often it arrives.
-// - An attempt once refused, cancelled or denied (a query answered NeverSeen)
-//   does not run when its Begin arrives later, and one that ran is never
-//   called unseen (PastAttempts).
+// - An attempt that was refused, cancelled or denied (a query answered
+//   NeverSeen) does not run when its Begin arrives later, and one that ran is
+//   never reported as unseen (PastAttempts).
 // - AttemptFailure::NotRun_ is true only when no byte of the request reached
-//   the endpoint, or a model engine answered 503, which its interface gives
+//   the endpoint, or a model engine answered 503, which its interface allows
 //   only before anything runs.
 // - An attempt is pinned to the version loaded when it was accepted; an answer
-//   of another version fails before a byte of it is passed on.
-// - The answer is kept until acknowledged, in a bounded buffer: a full buffer
-//   pauses the run, and ReleaseRun tells the reader, which keeps to the same
-//   bound on its own thread, what is free again. A query moves all later frames
-//   to its connection.
-// - A lost connection stops no attempt that may not be repeated, for it cannot
-//   be tried elsewhere; a repeatable one is given up after OrphanGrace_.
+//   of another version fails before any byte of it is forwarded.
+// - The answer is kept until acknowledged, in a bounded buffer. A full buffer
+//   pauses the run; ReleaseRun tells the reader, which enforces the same limit
+//   on its own thread, how much has been freed. A query redirects all later
+//   frames to its connection.
+// - A lost connection does not stop a non-repeatable attempt, because it cannot
+//   be retried elsewhere; a repeatable one is aborted after OrphanGrace_.
 //
-// Bounds: running attempts by capacity and its queue share, request bodies by
+// Limits: running attempts by capacity and its queue share, request bodies by
 // MaxBodyBytes_, finished attempts by Keep_, MaxFinished_ and
-// MaxFinishedBytes_ (oldest first; its bytes go before its outcome), the ids of
-// past ones by PastAttempts. Cost: O(1) an event, O(running) a tick.
+// MaxFinishedBytes_ (oldest first; its bytes are dropped before its outcome),
+// the ids of past attempts by PastAttempts. Cost: O(1) per event, O(running)
+// per tick.
 
 #ifndef HAWTHORNROAD_ROUTING_ATTEMPTTABLE_H
 #define HAWTHORNROAD_ROUTING_ATTEMPTTABLE_H
@@ -66,9 +67,10 @@
   AttemptActions handle(const HeadReceived &E, TimePoint Now);
   AttemptActions handle(const DataReceived &E, TimePoint Now);
   AttemptActions handle(const RunEnded &E, TimePoint Now);
-  // Gives up and forgets what is due.
+  // Aborts and evicts the attempts whose time limits have passed.
   AttemptActions tick(TimePoint Now);
-  // Ends every running attempt with Why; the limit of a planned stop.
+  // Aborts every running attempt with the reason Why, at the time limit of a
+  // planned stop.
   AttemptActions giveUpAll(const std::string &Why, TimePoint Now);
 
   std::size_t running() const { return Running_.size(); }
@@ -85,20 +87,22 @@
 
   AttemptActions refuse(const AttemptId &Attempt, AttemptRefusal Reason,
                         RequesterId From, TimePoint Now);
-  AttemptActions repeatFate(const AttemptId &Attempt,
-                            const PastAttempts::Fate &Fate, RequesterId From,
-                            TimePoint Now);
+  AttemptActions repeatOutcome(const AttemptId &Attempt,
+                               const PastAttempts::Fate &Fate, RequesterId From,
+                               TimePoint Now);
   AttemptActions deny(const QueryReceived &E, TimePoint Now);
   AttemptActions fire(Attempt &A, Event E, TimePoint Now);
   void perform(const Attempt &A, std::size_t Which, AttemptActions &Out) const;
-  void say(const Attempt &A, std::size_t Which, AttemptActions &Out) const;
-  void settle(Attempt &A, TimePoint Now, AttemptActions &Out);
+  void sendAnswer(const Attempt &A, std::size_t Which,
+                  AttemptActions &Out) const;
+  void finishRun(Attempt &A, TimePoint Now, AttemptActions &Out);
   // Returns the bytes freed.
   std::uint64_t acknowledge(Attempt &A, std::uint64_t Offset);
   void boundFinished(TimePoint Now);
   void forgetOldest(TimePoint Now);
   AttemptActions giveUp(Attempt &A, const std::string &Why, TimePoint Now);
-  std::optional<std::string> overdue(const Attempt &A, TimePoint Now) const;
+  std::optional<std::string> abandonReason(const Attempt &A,
+                                           TimePoint Now) const;
   std::vector<AttemptId> runningIds() const;
 
   Chart Chart_;
@@ -112,13 +116,13 @@
     AttemptId Attempt_;
     TimePoint Until_;
   };
-  // Oldest first; the first Dropped_ of them hold no bytes any more.
+  // Oldest first; the first Dropped_ of them no longer hold any bytes.
   std::deque<Finished> FinishedOrder_;
   std::size_t Dropped_ = 0;
   std::uint64_t FinishedBytes_ = 0;
   std::size_t Unacknowledged_ = 0;
   std::size_t BodyBytes_ = 0;
-  // Mean run time of late, for the time to come back after a refusal.
+  // Moving average of the run time, for the retry delay after a refusal.
   Duration MeanRun_ = Milliseconds(100);
 };
 
--- a/hawthornroad/routing/CallerAnswer.cpp
+++ b/hawthornroad/routing/CallerAnswer.cpp
@@ -10,7 +10,7 @@
 constexpr unsigned StatusOk = 200;
 constexpr std::string_view EventStream = "text/event-stream";
 
-bool sameLetters(std::string_view A, std::string_view B) {
+bool equalsIgnoreCase(std::string_view A, std::string_view B) {
   return std::equal(A.begin(), A.end(), B.begin(), B.end(), [](char X, char Y) {
     return std::tolower(static_cast<unsigned char>(X)) ==
            std::tolower(static_cast<unsigned char>(Y));
@@ -21,8 +21,8 @@
   if (H.Status_ != StatusOk)
     return false;
   for (const HeaderField &Each : H.Headers_)
-    if (sameLetters(Each.Name_, "content-type"))
-      return sameLetters(
+    if (equalsIgnoreCase(Each.Name_, "content-type"))
+      return equalsIgnoreCase(
           std::string_view(Each.Value_).substr(0, EventStream.size()),
           EventStream);
   return false;
@@ -44,7 +44,7 @@
   O.Begins_ = !Begun_;
   Begun_ = true;
   BytesPassed_ += Bytes.size();
-  if (Remembers_ && Passed_.size() + Bytes.size() <= MaxHeld)
+  if (KeepsPassed_ && Passed_.size() + Bytes.size() <= MaxHeld)
     Passed_ += Bytes;
   O.Bytes_ = std::move(Bytes);
   return O;
--- a/hawthornroad/routing/Chooser.cpp
+++ b/hawthornroad/routing/Chooser.cpp
@@ -9,10 +9,10 @@
 namespace hawthornroad {
 
 namespace {
-// Endpoints drawn for a choice.
-constexpr std::size_t Draws = 8;
+// Endpoints sampled for a choice.
+constexpr std::size_t SampleSize = 8;
 // How long an endpoint that refused an attempt counts as full.
-constexpr Duration BusyFor = Milliseconds(1000);
+constexpr Duration RefusalBackoff = Milliseconds(1000);
 
 // The endpoints of one service.
 struct Group {
@@ -27,18 +27,19 @@
   State(Random R, AvailabilityZone Own)
       : Rng_(std::move(R)), Own_(std::move(Own)) {}
 
-  enum class Where { OwnZone, OtherZones };
+  enum class ZoneScope { OwnZone, OtherZones };
 
   Group *groupOf(const ServiceName &S);
   EndpointPool &poolFor(Group &G, const EndpointStatus &S);
-  void enter(PooledEndpoint &E, TimePoint Now);
-  void leave(PooledEndpoint &E);
-  void releaseSpareEjections(Group &G, TimePoint Now);
+  void addToPool(PooledEndpoint &E, TimePoint Now);
+  void removeFromPool(PooledEndpoint &E);
+  void releaseExcessEjections(Group &G, TimePoint Now);
   void refresh(PooledEndpoint &E, TimePoint Now);
   void setLimit(Group &G, std::size_t Limit, TimePoint Now);
   void markGone(PooledEndpoint &E, TimePoint Now);
 
-  std::vector<EndpointPool *> matching(Group &G, const Query &Q, Where W) const;
+  std::vector<EndpointPool *> matching(Group &G, const Query &Q,
+                                       ZoneScope W) const;
   PooledEndpoint *drawFrom(const std::vector<EndpointPool *> &Pools,
                            const std::set<Vm> &Excluded);
   PooledEndpoint *chooseWaiting(const std::vector<EndpointPool *> &Pools,
@@ -50,7 +51,7 @@
 
   Random Rng_;
   AvailabilityZone Own_;
-  // The time of the last update, for calls that are told none.
+  // The time of the last update, for calls without a time argument.
   TimePoint Latest_;
   EndpointDirectory Directory_;
   std::unordered_map<ServiceName, Group> Groups_;
@@ -75,14 +76,14 @@
   return *G.Pools_.back();
 }
 
-void Chooser::State::enter(PooledEndpoint &E, TimePoint Now) {
+void Chooser::State::addToPool(PooledEndpoint &E, TimePoint Now) {
   Group &G = Groups_[E.Status_.Service_];
   poolFor(G, E.Status_).add(E, G.Limit_, Now);
   ++G.Ready_;
 }
 
-// Takes E out of its pool; the pool goes with its last member.
-void Chooser::State::leave(PooledEndpoint &E) {
+// Removes E from its pool, and the pool with its last member.
+void Chooser::State::removeFromPool(PooledEndpoint &E) {
   if (!E.Pool_)
     return;
   Group &G = Groups_[E.Status_.Service_];
@@ -94,10 +95,11 @@
     std::erase_if(G.Pools_, [&](const auto &P) { return P.get() == Pool; });
 }
 
-// Ejections are bounded by a share of the ready endpoints; when those become
-// fewer, the ones due first come back, lest the few left take all the load.
-void Chooser::State::releaseSpareEjections(Group &G, TimePoint Now) {
-  while (G.Outliers_.ejected() > OutlierEjection::mostEjected(G.Ready_)) {
+// Ejections are limited to a share of the ready endpoints. When the number of
+// ready endpoints falls, the ejections that end first are lifted early, so that
+// the few remaining endpoints do not receive all the load.
+void Chooser::State::releaseExcessEjections(Group &G, TimePoint Now) {
+  while (G.Outliers_.ejected() > OutlierEjection::maxEjected(G.Ready_)) {
     PooledEndpoint *First = nullptr;
     for (auto &P : G.Pools_) {
       PooledEndpoint *E = P->firstEjected();
@@ -125,8 +127,8 @@
 }
 
 void Chooser::State::markGone(PooledEndpoint &E, TimePoint Now) {
-  leave(E);
-  releaseSpareEjections(Groups_[E.Status_.Service_], Now);
+  removeFromPool(E);
+  releaseExcessEjections(Groups_[E.Status_.Service_], Now);
   const bool IsNew = !E.Gone_;
   E.Gone_ = true;
   if (IsNew && E.Load_.own() == 0)
@@ -140,7 +142,7 @@
     return;
   PooledEndpoint &E = State_->Directory_.obtain(Status.Vm_);
   const bool Restarted = Old && Status.Incarnation_ != E.Status_.Incarnation_;
-  // What has left does not come back before it restarts.
+  // An endpoint that has left returns only after a restart.
   if (Old && !Restarted && E.Status_.Phase_ == EndpointPhase::Left)
     return;
   const bool Moves = !E.Pool_ || Status.Phase_ != EndpointPhase::Ready ||
@@ -149,7 +151,7 @@
                      Status.Version_ != E.Status_.Version_;
   const ServiceName OldService = E.Status_.Service_;
   if (Moves)
-    State_->leave(E);
+    State_->removeFromPool(E);
   if (Restarted) {
     E.Health_ = {};
     E.Load_.forgetReports();
@@ -161,12 +163,12 @@
   if (!Moves)
     State_->refresh(E, Now);
   else if (Status.Phase_ == EndpointPhase::Ready)
-    State_->enter(E, Now);
+    State_->addToPool(E, Now);
   if (Status.Phase_ == EndpointPhase::Left)
     State_->markGone(E, Now);
   if (Moves)
     if (Group *G = State_->groupOf(OldService))
-      State_->releaseSpareEjections(*G, Now);
+      State_->releaseExcessEjections(*G, Now);
 }
 
 void Chooser::remove(const Vm &V, Incarnation I) {
@@ -177,11 +179,11 @@
 }
 
 std::vector<EndpointPool *> Chooser::State::matching(Group &G, const Query &Q,
-                                                     Where W) const {
+                                                     ZoneScope W) const {
   std::vector<EndpointPool *> Out;
   for (auto &P : G.Pools_) {
     const bool IsOwn = P->zone() == Own_;
-    if (IsOwn == (W == Where::OwnZone) && P->serves(Q.Version_))
+    if (IsOwn == (W == ZoneScope::OwnZone) && P->serves(Q.Version_))
       Out.push_back(P.get());
   }
   return Out;
@@ -207,10 +209,10 @@
                            const Query &Q) {
   if (Q.PrefixHash_ != 0)
     for (const EndpointPool *P : Pools)
-      if (PooledEndpoint *E = P->holder(Q.PrefixHash_, Q.Excluded_))
+      if (PooledEndpoint *E = P->affinityEndpoint(Q.PrefixHash_, Q.Excluded_))
         return E;
   PooledEndpoint *Best = nullptr;
-  for (std::size_t I = 0; I < Draws; ++I) {
+  for (std::size_t I = 0; I < SampleSize; ++I) {
     PooledEndpoint *E = drawFrom(Pools, Q.Excluded_);
     if (E && (!Best || E->Pool_->cost(*E) < Best->Pool_->cost(*Best)))
       Best = E;
@@ -218,7 +220,7 @@
   return Best;
 }
 
-// With every place taken: an endpoint at which an attempt may wait.
+// With every place taken: selects an endpoint at which an attempt may wait.
 PooledEndpoint *
 Chooser::State::chooseWaiting(const std::vector<EndpointPool *> &Pools,
                               const Query &Q, TimePoint Now) {
@@ -226,8 +228,8 @@
   for (EndpointPool *P : Pools) {
     if (P->isFull())
       continue;
-    for (std::size_t I = 0; I < Draws; ++I) {
-      PooledEndpoint *E = P->drawFull(Rng_, Q.Excluded_, Now);
+    for (std::size_t I = 0; I < SampleSize; ++I) {
+      PooledEndpoint *E = P->drawForWaiting(Rng_, Q.Excluded_, Now);
       if (E && (!Best || P->cost(*E) < Best->Pool_->cost(*Best)))
         Best = E;
     }
@@ -235,20 +237,22 @@
   return Best;
 }
 
-// The own zone's pools, then the others', first those with places to spare by
-// an estimate that is a little off, then those with any; then a place to wait.
+// Tries the own zone's pools, then the others': first pools with spare capacity
+// even if the estimate is slightly wrong, then pools with any free place, and
+// last an endpoint of the own zone at which the attempt may wait.
 PooledEndpoint *Chooser::State::pick(Group &G, const Query &Q, TimePoint Now) {
-  auto Own = matching(G, Q, Where::OwnZone);
-  auto Others = matching(G, Q, Where::OtherZones);
+  auto Own = matching(G, Q, ZoneScope::OwnZone);
+  auto Others = matching(G, Q, ZoneScope::OtherZones);
   for (auto *Pools : {&Own, &Others})
     for (EndpointPool *P : *Pools)
       P->refreshSome(G.Limit_, Now);
   for (auto *Pools : {&Own, &Others}) {
     auto Roomy = *Pools;
-    std::erase_if(Roomy, [](const EndpointPool *P) { return !P->isRoomy(); });
+    std::erase_if(Roomy,
+                  [](const EndpointPool *P) { return !P->hasSpareCapacity(); });
     PooledEndpoint *E = chooseFrom(Roomy, Q);
-    // A slow or failing one is worse than a sound one in another zone.
-    if (E && E->Pool_->isSound(*E))
+    // A healthy endpoint in another zone is better than a slow or failing one.
+    if (E && E->Pool_->isHealthy(*E))
       return E;
   }
   for (auto *Pools : {&Own, &Others})
@@ -259,7 +263,7 @@
 
 PooledEndpoint *Chooser::State::dueProbe(Group &G, const Query &Q,
                                          TimePoint Now) const {
-  for (Where W : {Where::OwnZone, Where::OtherZones})
+  for (ZoneScope W : {ZoneScope::OwnZone, ZoneScope::OtherZones})
     for (const EndpointPool *P : matching(G, Q, W))
       if (PooledEndpoint *E = P->dueProbe(Now))
         return E;
@@ -272,7 +276,7 @@
     return std::nullopt;
   State_->setLimit(*G, Q.InFlightLimit_, Now);
   PooledEndpoint *E = nullptr;
-  // A request that has failed once already is not risked on a probe.
+  // A request that has already failed once is not used as a probe.
   if (Q.Excluded_.empty())
     E = State_->dueProbe(*G, Q, Now);
   if (!E)
@@ -345,7 +349,7 @@
     G.Outliers_.failed(E->Health_, G.Ready_, Now);
     break;
   case Result::Refused:
-    E->BusyUntil_ = Now + BusyFor;
+    E->BusyUntil_ = Now + RefusalBackoff;
     E->Pool_->noteRefused();
     G.Outliers_.inconclusive(E->Health_);
     break;
--- a/hawthornroad/routing/Chooser.h
+++ b/hawthornroad/routing/Chooser.h
@@ -1,24 +1,24 @@
 // Chooses the endpoint of an attempt.
 //
 //   Chooser C(Random(Seed), AvailabilityZone("zg-borongaj"));
-//   C.update(Status, Now);                       // word of an endpoint
+//   C.update(Status, Now);                       // a report of an endpoint
 //   std::optional<Vm> V = C.choose({.Service_ = S, .PrefixHash_ = H}, Now);
 //   C.dispatched(*V, Now);
 //   C.firstByte(*V, Latency, Now);
 //   C.finished(*V, Chooser::Result::Answered, Now);
 //
-// The idea. Reports lag by seconds, so a choice by reported load alone sends
-// every entry to the same idle endpoint. The chooser counts its own attempts in
-// progress on top of the last report, and of those counted before that report
-// none twice. Among ready endpoints of its own zone (others only when that zone
-// has no ready one, or all of its are full as far as late reports can tell) it
-// takes the endpoint that a prefix hashes to while its load is within a bound
-// of the mean, else the least loaded of a few drawn at random. Endpoints that
-// refuse for want of a place shrink the number of attempts this entry keeps in
-// progress there. An endpoint that fails much more often than its peers
-// is ejected for a growing time, never more than a set share at once, and let
-// back by single probes.
-// Cost: one choice looks at a few endpoints, not at all.
+// Reports lag by seconds, so choosing by reported load alone would send every
+// entry to the same idle endpoint. The chooser therefore adds its own attempts
+// in progress to the last report, without counting those the report already
+// includes twice. It considers ready endpoints of its own zone; others only
+// when that zone has no ready one, or when all of its endpoints appear full
+// from the late reports. Among these it takes the endpoint that the prefix
+// hashes to while its load is within a bound of the mean, else the least loaded
+// of a small random sample. Refusals for lack of a place reduce the number of
+// attempts this entry keeps in progress in that pool. An endpoint that fails
+// much more often than its peers is ejected for a growing time, never more than
+// a fixed share at once, and readmitted by single probes.
+// Cost: a choice examines a few endpoints, not all of them.
 //
 // No I/O, no clock, no threads.
 
@@ -45,33 +45,33 @@
     VersionDigest Version_;
     // Hash of the prompt's leading part; 0 means no affinity.
     std::uint64_t PrefixHash_ = 0;
-    // Endpoints this request has tried already.
+    // Endpoints that this request has already tried.
     std::set<Vm> Excluded_;
     // Attempts one endpoint may run at once for the whole fleet, from the
-    // declaration; the report's capacity wins when it is lower and not 0.
+    // declaration; a lower reported capacity other than 0 takes precedence.
     std::size_t InFlightLimit_ = 16;
   };
   enum class Result {
-    Answered, // a whole answer
-    Refused,  // the endpoint said not-run: busy or draining, not a fault
+    Answered, // a complete answer
+    Refused,  // the endpoint reported not-run: busy or draining, not a fault
     Failed,   // lost, timed out, or an error of the endpoint
-    Cancelled // the caller left: says nothing of the endpoint
+    Cancelled // by the caller: no evidence about the endpoint
   };
 
   Chooser(Random Rng, AvailabilityZone Own);
   ~Chooser();
 
-  // Later word of an endpoint; older word is ignored.
+  // Applies a report of an endpoint; reports older than the last are ignored.
   void update(const EndpointStatus &Status, TimePoint Now);
-  // The endpoint's agent died or left; ignored for an older incarnation.
+  // The endpoint's agent failed or left; ignored for an older incarnation.
   void remove(const Vm &V, Incarnation I);
 
   std::optional<Vm> choose(const Query &Q, TimePoint Now);
-  // Ready endpoints with a free place for Q, all zones.
+  // Whether any ready endpoint, in any zone, has a free place for Q.
   bool hasRoom(const Query &Q, TimePoint Now) const;
   // Ready endpoints of the service, full ones included.
   std::size_t readyCount(const ServiceName &Service) const;
-  // Places of all ready endpoints, and how many this entry believes taken.
+  // Places of all ready endpoints, and an estimate of how many are taken.
   struct Room {
     std::size_t Places_ = 0;
     std::size_t Taken_ = 0;
--- a/hawthornroad/routing/ConcurrencyWindow.h
+++ b/hawthornroad/routing/ConcurrencyWindow.h
@@ -1,20 +1,20 @@
-// How many attempts this entry may have in progress in one pool of endpoints,
-// learnt from the endpoints' refusals.
+// Limits the attempts this entry has in progress in one pool of endpoints,
+// adapting to the endpoints' refusals.
 //
 //   ConcurrencyWindow W;
 //   if (W.allows(OwnInProgress)) dispatch;
 //   W.answered(OwnInProgress);
 //   W.refused(OwnInProgress);
 //
-// In overload every entry would fill each place it believes free, by reports
-// that are seconds old, and endpoints would refuse a good part of it all. As in
-// TCP's congestion control, a refusal shrinks the window by a factor and
-// answers widen it by a little, the more the longer no refusal has come. All
-// entries doing so share the places about evenly, with no word between them,
-// and few attempts are refused.
+// Under overload every entry would fill each place it believes to be free, from
+// reports that are seconds old, and endpoints would refuse many of the
+// attempts. As in TCP congestion control, a refusal shrinks the window and
+// answers widen it gradually, so it grows with the time since the last refusal.
+// All entries together thereby share the places about evenly without
+// communicating, and few attempts are refused.
 //
-// Without a refusal there is no bound. The window is never below one attempt,
-// so that no entry is shut out.
+// Without a refusal there is no limit. The window never falls below one
+// attempt, so that no entry is starved.
 
 #ifndef HAWTHORNROAD_ROUTING_CONCURRENCYWINDOW_H
 #define HAWTHORNROAD_ROUTING_CONCURRENCYWINDOW_H
--- a/hawthornroad/routing/Dependencies.cpp
+++ b/hawthornroad/routing/Dependencies.cpp
@@ -8,17 +8,18 @@
 ServiceName firstDownDependency(
     const Declaration &D, const Service &S,
     const std::function<std::size_t(const ServiceName &)> &ReadyCount) {
-  std::vector<ServiceName> Open = S.DependsOn_;
+  std::vector<ServiceName> Pending = S.DependsOn_;
   std::set<ServiceName> Seen;
-  while (!Open.empty()) {
-    ServiceName Next = Open.back();
-    Open.pop_back();
+  while (!Pending.empty()) {
+    ServiceName Next = Pending.back();
+    Pending.pop_back();
     if (!Seen.insert(Next).second)
       continue;
     const Service *Found = D.findService(Next);
     if (Found == nullptr || ReadyCount(Next) == 0)
       return Next;
-    Open.insert(Open.end(), Found->DependsOn_.begin(), Found->DependsOn_.end());
+    Pending.insert(Pending.end(), Found->DependsOn_.begin(),
+                   Found->DependsOn_.end());
   }
   return {};
 }
--- a/hawthornroad/routing/Dependencies.h
+++ b/hawthornroad/routing/Dependencies.h
@@ -1,12 +1,12 @@
-// Finds the service that keeps another from being of use.
+// Finds an unavailable dependency of a service.
 //
 //   ServiceName Down = firstDownDependency(*D, Service, [&](const auto &S) {
 //     return Chooser.readyCount(S);
 //   });
 //
-// A request whose service would fail for want of something it depends on, near
-// or far, is better refused before it takes a place: the caller learns at once
-// and the endpoints are spared. Cost: one look per service in the closure.
+// A request whose service would fail because of a direct or transitive
+// dependency is refused before it takes a place: the caller learns at once and
+// the endpoints are spared. Cost: one lookup per service in the closure.
 
 #ifndef HAWTHORNROAD_ROUTING_DEPENDENCIES_H
 #define HAWTHORNROAD_ROUTING_DEPENDENCIES_H
--- a/hawthornroad/routing/EndpointDirectory.cpp
+++ b/hawthornroad/routing/EndpointDirectory.cpp
@@ -29,7 +29,7 @@
 
 void EndpointDirectory::noteGone(const PooledEndpoint &E) {
   Gone_.push_back(E.Status_.Vm_);
-  while (Gone_.size() > GoneKept) {
+  while (Gone_.size() > MaxGone) {
     Vm Oldest = std::move(Gone_.front());
     Gone_.pop_front();
     forget(Oldest);
@@ -38,7 +38,7 @@
 
 void EndpointDirectory::forget(const Vm &V) {
   PooledEndpoint *E = find(V);
-  // It may have come back, or gone again with attempts of ours.
+  // It may have returned, or gone again with own attempts in progress.
   if (!E || !E->Gone_ || E->Load_.own() > 0)
     return;
   std::size_t Slot = E->Slot_;
--- a/hawthornroad/routing/EndpointDirectory.h
+++ b/hawthornroad/routing/EndpointDirectory.h
@@ -1,12 +1,12 @@
-// What an entry knows of each endpoint, by VM name.
+// The state of all endpoints known to an entry, by VM name.
 //
 //   EndpointDirectory D;
 //   PooledEndpoint &E = D.obtain(Vm("copywriter-lm-03"));
 //   D.noteGone(E);
 //
-// An endpoint that is gone is remembered for a while, so that late word of it
-// is told from new. Bound: all that are not gone, those with own attempts in
-// progress, and the latest GoneKept of the gone.
+// Endpoints that are gone are kept for a while, so that late reports of them
+// can be told from new ones. Limit: all endpoints that are not gone, those with
+// own attempts in progress, and the latest MaxGone of the others.
 
 #ifndef HAWTHORNROAD_ROUTING_ENDPOINTDIRECTORY_H
 #define HAWTHORNROAD_ROUTING_ENDPOINTDIRECTORY_H
@@ -20,13 +20,14 @@
 
 class EndpointDirectory {
 public:
-  static constexpr std::size_t GoneKept = 4096;
+  static constexpr std::size_t MaxGone = 4096;
 
-  // Null when unknown; one that is gone may be found.
+  // Null when unknown; may return an endpoint that is gone.
   PooledEndpoint *find(const Vm &V) const;
-  // The endpoint, made when unknown.
+  // The endpoint, created when unknown.
   PooledEndpoint &obtain(const Vm &V);
-  // E is gone and no own attempt runs there: it may be forgotten in its turn.
+  // E is gone and has no own attempts in progress: it becomes eligible for
+  // eviction, oldest first.
   void noteGone(const PooledEndpoint &E);
   const EndpointSlots &slots() const { return Slots_; }
 
--- a/hawthornroad/routing/EndpointPool.cpp
+++ b/hawthornroad/routing/EndpointPool.cpp
@@ -6,30 +6,32 @@
 namespace hawthornroad {
 
 namespace {
-// Members looked at for one that is not excluded.
-constexpr std::size_t MostLooks = 16;
-// Members refreshed with each choice, and when none is open.
-constexpr std::size_t RefreshedEach = 3;
+// Members scanned to find one that is not excluded.
+constexpr std::size_t MaxScanned = 16;
+// Members refreshed per choice, and per choice when none is open.
+constexpr std::size_t RefreshedPerChoice = 3;
 constexpr std::size_t RefreshedWhenFull = 32;
-// A place counts as free when the estimate, which is fractional, leaves most
-// of one.
-constexpr double LeastFreePlace = 0.5;
-// The share of places beyond them that an entry with little in progress may
-// use; agents let a quarter wait.
-constexpr double WaitingPlaces = 0.2;
-// A prefix's endpoint is passed over beyond this multiple of the mean load.
-constexpr double AffinityBound = 1.0;
-// First bytes that are enough to judge by, that count, and for how long.
-constexpr std::size_t FairFirstBytes = 4;
-constexpr std::size_t FirstBytesKept = 16;
-constexpr Duration FirstByteFor = Seconds(10);
-// Bounds the trust in a reported token time.
-constexpr double MostSlowness = 8.0;
-// An endpoint whose recent failures make up this share costs more to choose.
-constexpr double FailingFrom = 0.3;
+// The estimate is fractional: a place counts as free when at least this part of
+// it is.
+constexpr double MinFreePlace = 0.5;
+// The share of places beyond the pool's capacity that an entry with few
+// attempts in progress may use; agents let a quarter of the capacity wait.
+constexpr double MaxWaitingShare = 0.2;
+// A prefix's endpoint is skipped above this multiple of the mean load.
+constexpr double AffinityLoadBound = 1.0;
+// First-byte times needed for a judgement, averaged over at most, and how long
+// they remain valid.
+constexpr std::size_t MinFirstBytes = 4;
+constexpr std::size_t MaxFirstBytes = 16;
+constexpr Duration FirstByteValidity = Seconds(10);
+// Limits the effect of a reported step time.
+constexpr double MaxSlowness = 8.0;
+// An endpoint costs more to choose when its recent failure rate exceeds this.
+constexpr double FailureRateThreshold = 0.3;
 constexpr double FailureCost = 8.0;
-// An endpoint counts as slow beyond what more load than its peers explains.
-constexpr double SlowFrom = 1.6;
+// An endpoint counts as slow above this ratio to its peers, which a higher load
+// does not explain.
+constexpr double SlownessThreshold = 1.6;
 } // namespace
 
 EndpointPool::EndpointPool(const EndpointSlots &Slots, AvailabilityZone Zone,
@@ -102,22 +104,22 @@
   E.Due_ = Due;
 }
 
-// What the agent reports; an endpoint whose agent reports no time is judged by
-// the first bytes that came from it lately. Old ones do not count: an endpoint
-// shunned for being slow sends none, and would be shunned for ever.
+// The step time that the agent reports, or else the recent time to the first
+// byte. Old measurements do not count: an endpoint that is avoided for being
+// slow yields no new ones and would be avoided forever.
 double EndpointPool::stepMs(const PooledEndpoint &E, TimePoint Now) {
   if (E.Status_.StepMs_ > 0)
     return E.Status_.StepMs_;
-  if (E.FirstBytes_ < FairFirstBytes || Now - E.FirstByteAt_ > FirstByteFor)
+  if (E.FirstBytes_ < MinFirstBytes || Now - E.FirstByteAt_ > FirstByteValidity)
     return 0;
   return E.FirstByteMs_;
 }
 
 void EndpointPool::noteFirstByte(PooledEndpoint &E, Duration Latency,
                                  TimePoint Now) {
-  if (Now - E.FirstByteAt_ > FirstByteFor)
+  if (Now - E.FirstByteAt_ > FirstByteValidity)
     E.FirstBytes_ = 0;
-  E.FirstBytes_ = std::min(E.FirstBytes_ + 1, FirstBytesKept);
+  E.FirstBytes_ = std::min(E.FirstBytes_ + 1, MaxFirstBytes);
   E.FirstByteAt_ = Now;
   double Ms = std::chrono::duration<double, std::milli>(Latency).count();
   E.FirstByteMs_ += (Ms - E.FirstByteMs_) / static_cast<double>(E.FirstBytes_);
@@ -133,19 +135,19 @@
   E.PooledOwn_ = static_cast<double>(E.Load_.own());
   E.PooledOthers_ = E.Load_.reportedOthers();
   E.PooledLatest_ = E.Load_.latestOthers();
-  // It has just refused: whatever reports say, it is full and more.
+  // After a recent refusal it counts as overloaded, whatever reports say.
   if (Now < E.BusyUntil_)
-    E.PooledLatest_ = std::max(E.PooledLatest_,
-                               E.Places_ * (1 + WaitingPlaces) - E.PooledOwn_);
+    E.PooledLatest_ = std::max(
+        E.PooledLatest_, E.Places_ * (1 + MaxWaitingShare) - E.PooledOwn_);
   E.PooledStepMs_ = stepMs(E, Now);
   E.Taken_ = E.Load_.total(Now, typicalOthers());
-  // An ejected endpoint has no places to give; counted, they would make a pool
-  // look roomy whose other members are full.
+  // The places of an ejected endpoint are not available; counting them would
+  // make a pool appear to have spare capacity when its other members are full.
   if (E.Health_.Ejected_)
     E.Places_ = E.Taken_ = E.PooledLatest_ = 0;
   addSums(E, 1);
   noteEjection(E);
-  bool HasPlace = E.Taken_ + LeastFreePlace <= E.Places_;
+  bool HasPlace = E.Taken_ + MinFreePlace <= E.Places_;
   setOpen(E, HasPlace && !E.Health_.Ejected_ && Now >= E.BusyUntil_);
 }
 
@@ -156,7 +158,7 @@
 }
 
 void EndpointPool::refreshSome(std::size_t Limit, TimePoint Now) {
-  std::size_t Count = Open_ > 0 ? RefreshedEach : RefreshedWhenFull;
+  std::size_t Count = Open_ > 0 ? RefreshedPerChoice : RefreshedWhenFull;
   Count = std::min(Count, Members_.size());
   for (std::size_t I = 0; I < Count; ++I) {
     Cursor_ = (Cursor_ + 1) % Members_.size();
@@ -168,38 +170,40 @@
   return Own_ + std::max(0.0, Latest_);
 }
 
-// Beyond all its places, for two reasons. By late reports a pool is as often
-// emptier as fuller than it seems, and to wait at the entry for a place that is
-// free costs more than to wait in an engine for one that is not. And entries
-// that fill each place they see come free keep what they have, so that one with
-// little sees none free for as long as the overload lasts: its callers are
-// refused while its neighbours' are served. So the less of the load is its own,
-// the further an entry may go; the others then see the pool as full and give
-// way until shares are about even.
+// The limit exceeds the pool's places, for two reasons. First, as reports are
+// late, a pool is emptier than estimated as often as it is fuller, and waiting
+// at the entry for a place that is free costs more than waiting in an engine
+// for one that is not. Second, entries that fill each place as it is freed keep
+// their share, so an entry with a small share sees no free place for as long as
+// the overload lasts: its callers are refused while those of other entries are
+// served. Therefore the smaller an entry's own part of the load, the further it
+// may exceed the places; the other entries then see the pool as full and reduce
+// their load until shares are about even.
 bool EndpointPool::isFull() const {
   if (!Window_.allows(Own_))
     return true;
   double Load = inProgress();
   double OthersShare = Load > 0 ? 1 - Own_ / Load : 0;
-  return Load + LeastFreePlace > Places_ * (1 + WaitingPlaces * OthersShare);
+  return Load + MinFreePlace > Places_ * (1 + MaxWaitingShare * OthersShare);
 }
 
-// What others have in progress now differs from what they had when the reports
-// were made by about the root of it, as independent arrivals and ends make it.
-bool EndpointPool::isRoomy() const {
+// With independent arrivals and completions, the other entries' attempts in
+// progress have changed since the reports by about the square root of their
+// number.
+bool EndpointPool::hasSpareCapacity() const {
   double Margin = std::sqrt(std::max(0.0, Latest_));
   return inProgress() + Margin + 1 <= Places_;
 }
 
-PooledEndpoint *EndpointPool::drawFull(Random &Rng,
-                                       const std::set<Vm> &Excluded,
-                                       TimePoint Now) const {
+PooledEndpoint *EndpointPool::drawForWaiting(Random &Rng,
+                                             const std::set<Vm> &Excluded,
+                                             TimePoint Now) const {
   std::size_t At = Rng.below(Members_.size());
-  for (std::size_t I = 0; I < std::min(Members_.size(), MostLooks); ++I) {
+  for (std::size_t I = 0; I < std::min(Members_.size(), MaxScanned); ++I) {
     PooledEndpoint *E = Members_[(At + I) % Members_.size()];
     if (E->Health_.Ejected_ || Now < E->BusyUntil_)
       continue;
-    // Never more than the declared places for one entry alone.
+    // One entry alone never exceeds the declared places.
     if (E->PooledOwn_ + 1 > E->Places_)
       continue;
     if (!Excluded.contains(E->Status_.Vm_))
@@ -213,7 +217,7 @@
   if (open() == 0)
     return nullptr;
   std::size_t At = Rng.below(Open_);
-  for (std::size_t I = 0; I < std::min(Open_, MostLooks); ++I) {
+  for (std::size_t I = 0; I < std::min(Open_, MaxScanned); ++I) {
     PooledEndpoint *E = Members_[(At + I) % Open_];
     if (Excluded.empty() || !Excluded.contains(E->Status_.Vm_))
       return E;
@@ -221,8 +225,9 @@
   return nullptr;
 }
 
-PooledEndpoint *EndpointPool::holder(std::uint64_t PrefixHash,
-                                     const std::set<Vm> &Excluded) const {
+PooledEndpoint *
+EndpointPool::affinityEndpoint(std::uint64_t PrefixHash,
+                               const std::set<Vm> &Excluded) const {
   if (open() == 0)
     return nullptr;
   const double MeanUse = Places_ > 0 ? Taken_ / Places_ : 0;
@@ -231,9 +236,9 @@
     PooledEndpoint *E = Slots_[C.Handles_[I]].get();
     if (E->Position_ >= Open_ || Excluded.contains(E->Status_.Vm_))
       continue;
-    if (!isSound(*E))
+    if (!isHealthy(*E))
       continue;
-    if (E->Taken_ <= AffinityBound * MeanUse * E->Places_ + 1)
+    if (E->Taken_ <= AffinityLoadBound * MeanUse * E->Places_ + 1)
       return E;
   }
   return nullptr;
@@ -243,12 +248,12 @@
   return Ejected_.empty() ? nullptr : Slots_[Ejected_.begin()->Slot_].get();
 }
 
-// Own attempts still running there began before the ejection: with none, the
-// next one to end is the probe.
+// Own attempts still in progress there began before the ejection. Only when
+// there are none is the next attempt to end certain to be the probe.
 PooledEndpoint *EndpointPool::dueProbe(TimePoint Now) const {
-  std::size_t Looks = 0;
+  std::size_t Scanned = 0;
   for (const Due &D : Ejected_) {
-    if (D.Until_ > Now || ++Looks > MostLooks)
+    if (D.Until_ > Now || ++Scanned > MaxScanned)
       return nullptr;
     PooledEndpoint *E = Slots_[D.Slot_].get();
     if (E->Health_.mayProbe(Now) && E->Load_.own() == 0)
@@ -257,13 +262,14 @@
   return nullptr;
 }
 
-// Endpoints that fail fast always have free places, and when most of them do,
-// none is an outlier: the least loaded would draw every request to its failure.
-// Failures fade, so one that is spared comes to be tried again.
+// Endpoints that fail fast always have free places, and when most of them fail,
+// none is an outlier: without a penalty the failing ones, as the least loaded,
+// would receive every request. Failure counts decay, so an avoided endpoint is
+// eventually tried again.
 double EndpointPool::failurePenalty(const PooledEndpoint &E) {
   const OutlierEjection::Tally &T = E.Health_.Tally_;
   double Rate = T.Failed_ / (T.Answered_ + T.Failed_ + 1);
-  return Rate > FailingFrom ? 1 + FailureCost * Rate : 1;
+  return Rate > FailureRateThreshold ? 1 + FailureCost * Rate : 1;
 }
 
 double EndpointPool::slowness(const PooledEndpoint &E) const {
@@ -271,7 +277,7 @@
     return 1;
   double Peers = (StepMs_ - E.PooledStepMs_) / static_cast<double>(Steps_ - 1);
   double Ratio = E.PooledStepMs_ / Peers;
-  return Ratio > SlowFrom ? std::min(Ratio, MostSlowness) : 1;
+  return Ratio > SlownessThreshold ? std::min(Ratio, MaxSlowness) : 1;
 }
 
 double EndpointPool::cost(const PooledEndpoint &E) const {
--- a/hawthornroad/routing/EndpointPool.h
+++ b/hawthornroad/routing/EndpointPool.h
@@ -1,17 +1,17 @@
-// The ready endpoints of one service, availability zone and version, kept so
-// that a choice looks at a few of them only.
+// The ready endpoints of one service, availability zone and version, organised
+// so that a choice examines only a few of them.
 //
 //   EndpointPool P(Slots, Zone, Version);
 //   P.add(E, Limit, Now);
 //   P.refresh(E, Limit, Now);         // its load or health has changed
 //   PooledEndpoint *Drawn = P.draw(Rng, Excluded);
 //
-// Members stand in an array whose first part has a free place ("open"); an
-// endpoint crosses the border by one swap when its estimate says so. Drawing at
-// random from the open part thus never scans for one, be there ten thousand and
-// all but one full. Estimates also change by themselves, with time: each choice
-// refreshes a few members in turn (refreshSome), so a closed one is seen to be
-// open again without a timer.
+// Members are kept in an array whose first part has a free place ("open"); an
+// endpoint moves between the parts by one swap when its estimate changes.
+// Drawing at random from the open part therefore needs no scan, even with ten
+// thousand members of which all but one are full. Estimates also change with
+// time alone: each choice refreshes a few members in turn (refreshSome), so a
+// full member is found to be open again without a timer.
 //
 // Cost: add and remove shift PrefixAffinity's array; all else is constant.
 
@@ -35,28 +35,28 @@
 
 class EndpointPool;
 
-// All that one entry knows of an endpoint.
+// One entry's state of an endpoint.
 struct PooledEndpoint {
   EndpointStatus Status_;
   std::uint64_t NameHash_ = 0;
-  // Index in EndpointSlots, for as long as it is known.
+  // Index in EndpointSlots while the endpoint is known.
   std::size_t Slot_ = 0;
   LoadEstimate Load_;
   OutlierEjection::Record Health_;
-  // It refused an attempt for want of a place: full until then, whatever an
-  // older report says.
+  // After a refusal for lack of a place the endpoint counts as full until this
+  // time, whatever older reports say.
   TimePoint BusyUntil_;
-  // The mean time to the first byte, over the latest.
+  // Moving average of the time to the first byte.
   double FirstByteMs_ = 0;
   std::size_t FirstBytes_ = 0;
   TimePoint FirstByteAt_;
   // Null unless ready.
   EndpointPool *Pool_ = nullptr;
-  // Dead or left; kept while own attempts run there and so that late word of
-  // the same incarnation is known to be late.
+  // Failed or left. Kept while own attempts are in progress there, and so that
+  // late reports of the same incarnation are recognised.
   bool Gone_ = false;
 
-  // Kept by the pool.
+  // Maintained by the pool.
   std::size_t Position_ = 0;
   double Places_ = 0;
   double Taken_ = 0;
@@ -64,7 +64,7 @@
   double PooledOthers_ = 0;
   double PooledLatest_ = 0;
   double PooledStepMs_ = 0;
-  // When it is due for a probe, if it stands among the ejected.
+  // When it is due for a probe, if it is ejected.
   std::optional<TimePoint> Due_;
 };
 
@@ -87,19 +87,19 @@
   void remove(PooledEndpoint &E);
   void refresh(PooledEndpoint &E, std::size_t Limit, TimePoint Now);
   void refreshAll(std::size_t Limit, TimePoint Now);
-  // Refreshes a few, more when none is open.
+  // Refreshes a few members, more when none is open.
   void refreshSome(std::size_t Limit, TimePoint Now);
 
-  // One open endpoint, each alike; null when none but excluded ones was found
-  // in a bounded look.
+  // A random open endpoint; null when a bounded scan finds only excluded ones.
   PooledEndpoint *draw(Random &Rng, const std::set<Vm> &Excluded) const;
-  // One endpoint of all but the ejected and those that just refused.
-  PooledEndpoint *drawFull(Random &Rng, const std::set<Vm> &Excluded,
-                           TimePoint Now) const;
-  // The endpoint that should hold the prefix in its cache, while its load is
+  // A random endpoint, full or not, that is neither ejected nor has just
+  // refused.
+  PooledEndpoint *drawForWaiting(Random &Rng, const std::set<Vm> &Excluded,
+                                 TimePoint Now) const;
+  // The endpoint expected to have the prefix in its cache, while its load is
   // within a bound of the mean; else null.
-  PooledEndpoint *holder(std::uint64_t PrefixHash,
-                         const std::set<Vm> &Excluded) const;
+  PooledEndpoint *affinityEndpoint(std::uint64_t PrefixHash,
+                                   const std::set<Vm> &Excluded) const;
   // An ejected endpoint that is due for a probe; null when none is.
   PooledEndpoint *dueProbe(TimePoint Now) const;
   // The ejected endpoint that is due first; null when none is ejected.
@@ -107,27 +107,27 @@
 
   // Latency is from dispatch to the first byte of an answer of E.
   static void noteFirstByte(PooledEndpoint &E, Duration Latency, TimePoint Now);
-  // An attempt ended at a member: whole, or refused for want of a place.
+  // An attempt at a member was answered, or refused for lack of a place.
   void noteAnswered() { Window_.answered(Own_); }
   void noteRefused() { Window_.refused(Own_); }
 
-  // How much slower than its peers' its tokens are; 1 unless well beyond what
+  // The ratio of E's step time to its peers'; 1 unless it is well above what
   // load explains.
   double slowness(const PooledEndpoint &E) const;
-  // Neither slow nor failing: worth choosing before another zone.
-  bool isSound(const PooledEndpoint &E) const {
+  // Neither slow nor failing, and so preferred to endpoints of another zone.
+  bool isHealthy(const PooledEndpoint &E) const {
     return slowness(E) == 1 && failurePenalty(E) == 1;
   }
-  // Expected relative time of an attempt there; lower is better.
+  // The expected relative duration of an attempt at E; lower is better.
   double cost(const PooledEndpoint &E) const;
 
   std::size_t size() const { return Members_.size(); }
-  // Whether this entry may have no more in progress here.
+  // Whether this entry may start no more attempts here.
   bool isFull() const;
-  // Members with a free place; none while the pool is full.
+  // The number of members with a free place; 0 while the pool is full.
   std::size_t open() const { return isFull() ? 0 : Open_; }
-  // Whether it has places to spare even if the estimate is a little off.
-  bool isRoomy() const;
+  // Whether places are free even if the estimate is slightly wrong.
+  bool hasSpareCapacity() const;
   double places() const { return Places_; }
   double taken() const { return Taken_; }
 
@@ -139,7 +139,7 @@
     auto operator<=>(const Due &) const = default;
   };
 
-  // Everybody's attempts, by the latest reports.
+  // All entries' attempts, by the latest reports.
   double inProgress() const;
   static double failurePenalty(const PooledEndpoint &E);
   static double stepMs(const PooledEndpoint &E, TimePoint Now);
--- a/hawthornroad/routing/EventSplitter.cpp
+++ b/hawthornroad/routing/EventSplitter.cpp
@@ -8,16 +8,16 @@
 namespace {
 constexpr std::string_view DataField = "data";
 
-// Finds the ends of lines of Text. Each kind's next place is remembered: with
-// many CRs and no LF, looking for the LF again for each line would be
+// Finds the line ends of Text. The next position of each kind is cached: with
+// many CRs and no LF, searching for the LF again for each line would be
 // quadratic.
 class LineEnds {
 public:
   LineEnds(const std::string &Text, std::size_t From)
       : Text_(Text), Lf_(Text.find('\n', From)), Cr_(Text.find('\r', From)) {}
 
-  // The first line end at From or behind it; npos when there is none. From may
-  // not go back.
+  // The first line end at or after From; npos when there is none. From may not
+  // decrease between calls.
   std::size_t next(std::size_t From) {
     if (Lf_ < From)
       Lf_ = Text_.find('\n', From);
@@ -35,7 +35,7 @@
 
 void EventSplitter::noteLineEnd(std::size_t Position) {
   if (LineBytes_ == 0) {
-    WholeUpTo_ = Position;
+    CompleteUpTo_ = Position;
     Events_ += HasData_ ? 1 : 0;
     HasData_ = false;
   }
@@ -43,17 +43,17 @@
   LineStart_.clear();
 }
 
-// Cost: every byte that reaches a caller passes here, so lines are searched
-// for their ends and not walked through letter by letter.
+// Every byte that reaches a caller passes through here, so line ends are found
+// by searching rather than character by character.
 std::string EventSplitter::feed(std::string_view Bytes) {
   std::size_t At = Rest_.size();
   Rest_.append(Bytes);
   LineEnds Ends(Rest_, At);
   while (At < Rest_.size()) {
-    // The LF of a CRLF belongs to the line end its CR made.
+    // The LF of a CRLF belongs to the line end that its CR began.
     if (std::exchange(AfterCr_, false) && Rest_[At] == '\n') {
-      if (WholeUpTo_ == At)
-        WholeUpTo_ = At + 1;
+      if (CompleteUpTo_ == At)
+        CompleteUpTo_ = At + 1;
       ++At;
       continue;
     }
@@ -70,18 +70,18 @@
     At = End + 1;
     noteLineEnd(At);
   }
-  if (Rest_.size() - WholeUpTo_ > MaxEvent) {
+  if (Rest_.size() - CompleteUpTo_ > MaxEvent) {
     Resumable_ = false;
-    WholeUpTo_ = Rest_.size();
+    CompleteUpTo_ = Rest_.size();
   }
   std::string Whole;
-  // Most reads end with an event; those bytes need no copy.
-  if (WholeUpTo_ == Rest_.size())
+  // Most reads end at the end of an event; their bytes need no copy.
+  if (CompleteUpTo_ == Rest_.size())
     Whole.swap(Rest_);
   else
-    Whole = Rest_.substr(0, WholeUpTo_);
+    Whole = Rest_.substr(0, CompleteUpTo_);
   Rest_.erase(0, Whole.size());
-  WholeUpTo_ = 0;
+  CompleteUpTo_ = 0;
   return Whole;
 }
 
--- a/hawthornroad/routing/FairQueue.cpp
+++ b/hawthornroad/routing/FairQueue.cpp
@@ -6,17 +6,18 @@
 namespace hawthornroad {
 
 namespace {
-// The share of places a waiting class gets though higher ones wait too.
+// The share of places a class with queued requests gets while higher classes
+// have queued requests too.
 constexpr std::array<double, 3> GuaranteedShare = {0.0, 0.1, 0.05};
-// Idle flows are swept when there are more than this many.
-constexpr std::size_t FlowsKept = 64;
+// Idle flows are removed when there are more flows than this.
+constexpr std::size_t IdleSweepThreshold = 64;
 
 std::size_t indexOf(Priority P) { return static_cast<std::size_t>(P); }
 } // namespace
 
 void FairQueue::push(Item I, double Weight) {
   Class &C = Classes_[indexOf(I.Priority_)];
-  if (C.Flows_.size() > FlowsKept)
+  if (C.Flows_.size() > IdleSweepThreshold)
     forgetIdle(C);
   Flow &F = C.Flows_[I.Customer_];
   F.Weight_ = Weight;
@@ -44,7 +45,7 @@
   });
 }
 
-// The highest class that waits, unless a lower one has earned a whole place.
+// The highest non-empty class, unless a lower one has earned a whole place.
 std::size_t FairQueue::nextClass() {
   std::size_t Highest = ClassCount;
   std::size_t Chosen = ClassCount;
@@ -55,13 +56,13 @@
     Class &C = Classes_[K];
     if (C.Size_ == 0)
       continue;
-    C.Earned_ += GuaranteedShare[K];
-    if (C.Earned_ >= 1.0 && Chosen == ClassCount)
+    C.Credit_ += GuaranteedShare[K];
+    if (C.Credit_ >= 1.0 && Chosen == ClassCount)
       Chosen = K;
   }
   if (Chosen == ClassCount)
     return Highest;
-  Classes_[Chosen].Earned_ -= 1.0;
+  Classes_[Chosen].Credit_ -= 1.0;
   return Chosen;
 }
 
@@ -80,7 +81,7 @@
   --C.Size_;
   --Size_;
   if (C.Size_ == 0)
-    C.Earned_ = 0;
+    C.Credit_ = 0;
   return Out;
 }
 
@@ -100,9 +101,9 @@
   return true;
 }
 
-// In its own class: of each flow, the requests that start before this one
-// would. Every waiting request of a higher class goes first too, but for the
-// guaranteed share, which bounds the wait.
+// In its own class, counts the requests of each flow that start before this one
+// would. Every queued request of a higher class also precedes it, except for
+// the guaranteed share, which bounds the wait.
 double FairQueue::aheadOf(const Customer &Name, Priority P,
                           double Weight) const {
   const std::size_t K = indexOf(P);
--- a/hawthornroad/routing/FairQueue.h
+++ b/hawthornroad/routing/FairQueue.h
@@ -1,23 +1,23 @@
-// The waiting requests of one service, in the order in which they get places.
+// The queued requests of one service, in the order in which they get places.
 //
 //   FairQueue Q;
 //   Q.push({Id, Customer("hp-travel"), Priority::Normal, Deadline}, Weight);
 //   if (auto Item = Q.pop()) dispatch(Item->Id_);
 //
 // Start-time fair queueing: within a priority class each customer is a flow
-// with a virtual start time. The flow that starts earliest is served, and its
-// next request starts 1/weight later; the class's virtual time is the start of
-// the last one served. A flow that was idle starts at the virtual time: it
-// neither pays for having been idle nor saves up for it. So over any interval
-// two backlogged customers get places in the ratio of their weights, give or
-// take one request each.
+// with a virtual start time. The flow with the earliest start is served, and
+// its next request starts 1/weight later; the class's virtual time is the start
+// of the last request served. An idle flow resumes at the virtual time: it is
+// neither penalised for idling nor does it accumulate credit. Over any interval
+// two backlogged customers therefore get places in the ratio of their weights,
+// within one request each.
 //
 // Classes are served in order, but each lower class earns a small share of
-// every place given, and is served when that makes a whole place: a flood of
-// interactive requests slows batch work down and never stops it.
+// every place given, and is served when that amounts to a whole place: a flood
+// of interactive requests slows batch work down but never stops it.
 //
-// Cost: push and remove O(log n), pop and aheadOf O(customers waiting). Memory:
-// one entry a request; idle flows are forgotten once virtual time has passed
+// Cost: push and remove O(log n), pop and aheadOf O(queued customers). Memory:
+// one entry per request; idle flows are removed once virtual time has passed
 // them.
 
 #ifndef HAWTHORNROAD_ROUTING_FAIRQUEUE_H
@@ -46,16 +46,16 @@
   // Weight is the customer's, above 0.
   void push(Item I, double Weight);
   std::optional<Item> pop();
-  // Gives back the place that pop() gave: I is its customer's next again.
+  // Undoes a pop(): I becomes its customer's next request again.
   void unpop(Item I, double Weight);
-  // Takes a request out; false when it is not here.
+  // Removes a request; returns false when it is not queued.
   bool remove(const Item &I);
 
-  // Requests that would get a place before one more of this customer.
+  // The requests that would get a place before another one of this customer.
   double aheadOf(const Customer &C, Priority P, double Weight) const;
-  // The latest request, in the lowest class, of the customer whose backlog is
-  // largest for its weight, counting one more of Newcomer's. Nothing when that
-  // is the newcomer itself.
+  // The latest request, in the lowest class, of the customer with the largest
+  // backlog relative to its weight, with Newcomer counted in its customer's
+  // backlog. Returns nullopt when that request is Newcomer itself.
   std::optional<Item> victimFor(const Item &Newcomer, double Weight) const;
 
   std::vector<Item> items() const;
@@ -66,14 +66,14 @@
   static constexpr std::size_t ClassCount = 3;
   struct Flow {
     double Weight_ = 1;
-    // Virtual start of the first waiting request, or of the next to come.
+    // Virtual start of the first queued request, or of the next to arrive.
     double Start_ = 0;
     std::deque<Item> Waiting_;
   };
   struct Class {
     double VirtualTime_ = 0;
-    // Part of a place this class has earned while others were served.
-    double Earned_ = 0;
+    // The part of a place this class has earned while others were served.
+    double Credit_ = 0;
     std::size_t Size_ = 0;
     std::map<Customer, Flow> Flows_;
   };
--- a/hawthornroad/routing/LoadEstimate.cpp
+++ b/hawthornroad/routing/LoadEstimate.cpp
@@ -6,13 +6,13 @@
 namespace hawthornroad {
 
 namespace {
-// Reports are averaged over this time.
+// The time constant of the average over reports.
 constexpr double OthersWindowSeconds = 60.0;
-// About what reports lag by.
+// The approximate lag of reports.
 constexpr double OwnWindowSeconds = 2.0;
-// Older reports than this begin to fade, and fade with this time constant.
-constexpr Duration FreshFor = Seconds(6);
-constexpr double FadeSeconds = 5.0;
+// The weight of reports older than this decays with this time constant.
+constexpr Duration MaxFreshAge = Seconds(6);
+constexpr double ReportDecaySeconds = 5.0;
 
 double seconds(Duration D) { return std::chrono::duration<double>(D).count(); }
 } // namespace
@@ -59,9 +59,9 @@
   if (!HasReport_)
     return Typical;
   Duration Age = Now - Reported_;
-  if (Age <= FreshFor)
+  if (Age <= MaxFreshAge)
     return Others_;
-  double Kept = std::exp(-seconds(Age - FreshFor) / FadeSeconds);
+  double Kept = std::exp(-seconds(Age - MaxFreshAge) / ReportDecaySeconds);
   return Typical + (Others_ - Typical) * Kept;
 }
 
--- a/hawthornroad/routing/LoadEstimate.h
+++ b/hawthornroad/routing/LoadEstimate.h
@@ -1,22 +1,22 @@
-// How many attempts one endpoint has in progress, as far as this entry can
-// know: its own, which it counts, and the others', which reports tell late.
+// Estimates the attempts in progress at one endpoint: the entry's own, which it
+// counts, and those of other entries, which reports give with a delay.
 //
 //   LoadEstimate L;
 //   L.dispatched(Now);
 //   L.report(Running + Waiting, Now);   // seconds old, own ones included
 //   double N = L.total(Now, TypicalOthers);
 //
-// A report counts the entry's own attempts of the moment it was made, which is
-// not known. Taking off those in progress now would count attempts begun since
-// as the others' absence, and those ended since as the others' presence. So the
-// mean of the own attempts over the last few seconds, which is what reports lag
-// by, is taken off instead, and what remains is the others' load. On top of it
-// come the own attempts of now, each counted once.
+// A report includes the entry's own attempts at the time it was made, which is
+// not known. Subtracting the current own attempts would underestimate the other
+// entries' load by attempts begun since, and overestimate it by those ended
+// since. Instead, the mean of the own attempts over the last few seconds, which
+// is the lag of reports, is subtracted, and the remainder is the other entries'
+// load. The current own attempts are then added, each counted once.
 //
-// A report grows old when the agent is silent. The others' load then drifts
-// from what was reported to what is typical of its peers: an endpoint last
-// heard of as idle must not draw everybody for the length of its silence, nor
-// one heard of as full be shunned.
+// A report becomes stale when the agent is silent. The other entries' load then
+// converges from the reported value to the mean of the endpoint's peers, so
+// that an endpoint last reported as idle does not attract every entry for as
+// long as it is silent, and one last reported as full is not avoided.
 //
 // Cost: a few floating-point operations and at most one exp().
 
@@ -32,25 +32,26 @@
 class LoadEstimate {
 public:
   void dispatched(TimePoint Now);
-  // Ignored when none is in progress.
+  // Ignored when no own attempt is in progress.
   void finished(TimePoint Now);
-  // InProgress counts everybody's attempts, running or waiting.
+  // InProgress counts the attempts of all entries, running or waiting.
   void report(double InProgress, TimePoint Now);
-  // Forgets reports, not the own attempts: the endpoint has restarted.
+  // Discards reports but not the own attempts, after a restart of the endpoint.
   void forgetReports();
 
   std::size_t own() const { return Own_; }
-  // The others' attempts; Typical is the mean over the endpoint's peers.
+  // Other entries' attempts; Typical is the mean over the endpoint's peers.
   double others(TimePoint Now, double Typical) const;
   double total(TimePoint Now, double Typical) const;
-  // The last report alone, not averaged; may be below zero. Summed over many
-  // endpoints, its noise cancels out and it tells of a change at once.
+  // Other entries' attempts by the last report alone, not averaged; may be
+  // negative. Summed over many endpoints, its noise cancels out, and it shows a
+  // change at once.
   double latestOthers() const { return Latest_; }
-  // The average of the reports, however old.
+  // Other entries' attempts averaged over the reports, whatever their age.
   double reportedOthers() const { return Others_; }
 
 private:
-  // The mean of the own attempts, weighted by how recent they were.
+  // Updates the mean of the own attempts, weighted by recency, up to Now.
   void advance(TimePoint Now);
 
   std::size_t Own_ = 0;
--- a/hawthornroad/routing/OutlierEjection.h
+++ b/hawthornroad/routing/OutlierEjection.h
@@ -1,22 +1,23 @@
-// Takes endpoints out that fail much more often than their peers, and lets
-// them back one attempt at a time.
+// Ejects endpoints that fail much more often than their peers, and readmits
+// them one attempt at a time.
 //
-//   OutlierEjection Group;                    // one for a service
-//   OutlierEjection::Record R;                // one for an endpoint
+//   OutlierEjection Group;                    // one per service
+//   OutlierEjection::Record R;                // one per endpoint
 //   if (Group.failed(R, Members, Now)) ...    // R is ejected until R.Until_
 //   if (R.mayProbe(Now)) { R.Probing_ = true; dispatch; }
-//   if (Group.answered(R, Now)) ...           // R is back
+//   if (Group.answered(R, Now)) ...           // R is readmitted
 //
 // An endpoint is ejected when its last ConsecutiveFailures attempts all failed,
-// or when half of a fair sample did, and its failure rate is also well above
-// that of its peers: when all fail alike (a dependency is down, a bad release),
-// taking endpoints out would only bury the rest. Each ejection lasts twice as
-// long as the last one, up to LongestEjection; a time of good answers forgives.
-// When the time is over the endpoint gets one attempt at a time; ProbesToReturn
-// good ones bring it back, one failure ejects it again.
+// or at least half of a sufficient sample did, and its failure rate is also
+// well above that of its peers: when all fail alike (a dependency is down, a
+// bad release), ejecting endpoints would only overload the rest. Each ejection
+// lasts twice as long as the previous one, up to MaxEjection; a long period of
+// successful answers resets the length. When the time is over the endpoint gets
+// one attempt at a time; ProbesToReturn successful ones readmit it, one failure
+// ejects it again.
 //
-// Bound: never more than MostShare of the members at once, at least one of two
-// or more. Failure counts fade with a time constant of Window.
+// Limit: never more than MaxEjectedShare of the members at once, but at least
+// one of two or more. Failure counts decay with a time constant of Window.
 
 #ifndef HAWTHORNROAD_ROUTING_OUTLIEREJECTION_H
 #define HAWTHORNROAD_ROUTING_OUTLIEREJECTION_H
@@ -31,17 +32,17 @@
 public:
   static constexpr std::size_t ConsecutiveFailures = 3;
   static constexpr std::size_t ProbesToReturn = 2;
-  static constexpr double MostShare = 1.0 / 3;
+  static constexpr double MaxEjectedShare = 1.0 / 3;
   static constexpr Duration FirstEjection = Seconds(2);
-  static constexpr Duration LongestEjection = Seconds(60);
+  static constexpr Duration MaxEjection = Seconds(60);
   static constexpr Duration Window = Seconds(20);
 
-  // Answers and failures, fading with time.
+  // Exponentially decaying counts of answers and failures.
   struct Tally {
     double Answered_ = 0;
     double Failed_ = 0;
     TimePoint Updated_;
-    void fade(TimePoint Now);
+    void decay(TimePoint Now);
     double rate() const;
   };
 
@@ -58,18 +59,18 @@
     }
   };
 
-  // Members is the number of ready endpoints, ejected ones included. True when
-  // R has just been ejected, or again.
+  // Members is the number of ready endpoints, ejected ones included. Returns
+  // true when this failure ejects R, for the first time or again.
   bool failed(Record &R, std::size_t Members, TimePoint Now);
-  // True when R has just returned.
+  // Returns true when this answer readmits R.
   bool answered(Record &R, TimePoint Now);
-  // An attempt ended that says nothing of the endpoint.
+  // An attempt ended without evidence about the endpoint.
   void inconclusive(Record &R) { R.Probing_ = false; }
-  // R is no longer ejected: it has left, restarted, or is needed after all.
+  // Ends the ejection of R because it has left, restarted, or is needed.
   void release(Record &R);
 
   std::size_t ejected() const { return EjectedCount_; }
-  static std::size_t mostEjected(std::size_t Members);
+  static std::size_t maxEjected(std::size_t Members);
 
 private:
   bool isOutlier(const Record &R) const;
--- a/hawthornroad/routing/PrefixAffinity.h
+++ b/hawthornroad/routing/PrefixAffinity.h
@@ -1,19 +1,20 @@
-// Which endpoints should hold a prompt prefix in their cache: the same ones at
-// every entry, without talking.
+// Maps a prompt prefix to the endpoints that should have it in their cache. The
+// mapping is the same at every entry, without communication.
 //
 //   PrefixAffinity A;
 //   A.add(Key);  A.remove(Key);              // ready endpoints
 //   PrefixAffinity::Candidates C = A.candidates(PrefixHash);
 //
-// Rendezvous hashing scores every endpoint for a prefix, which at ten thousand
-// endpoints is too much for one choice. So the endpoints stand on a circle by
-// the hash of their names, and only the Window that follow the prefix's hash
-// are scored. Each prefix has a fixed order among its window; when an endpoint
-// comes or goes, about two in Members prefixes move.
+// Plain rendezvous hashing scores every endpoint for a prefix, which is too
+// expensive per choice at ten thousand endpoints. Endpoints are therefore
+// placed on a ring by the hash of their names, and only the Window endpoints
+// after the prefix's hash are scored. Each prefix has a fixed preference order
+// within its window; when an endpoint is added or removed, about two in Members
+// prefixes move.
 //
 // The caller takes the first candidate whose load is within its bound of the
-// mean; that keeps a hot prefix from drowning its endpoint, which then spills
-// to the same second choice at every entry.
+// mean, so that a hot prefix does not overload its endpoint but spills over to
+// the same second choice at every entry.
 //
 // Cost: a binary search and Window scores; add and remove shift an array.
 
@@ -30,8 +31,8 @@
 class PrefixAffinity {
 public:
   static constexpr std::size_t Window = 8;
-  // Endpoints that a prefix may be cached at.
-  static constexpr std::size_t MostCandidates = 3;
+  // The number of endpoints at which a prefix may be cached.
+  static constexpr std::size_t MaxCandidates = 3;
 
   struct Member {
     // The hash of the endpoint's name.
@@ -41,7 +42,7 @@
     auto operator<=>(const Member &) const = default;
   };
   struct Candidates {
-    std::array<std::size_t, MostCandidates> Handles_{};
+    std::array<std::size_t, MaxCandidates> Handles_{};
     std::size_t Count_ = 0;
   };
 
@@ -49,10 +50,10 @@
   void remove(const Member &M);
   // Handles in the prefix's order of preference.
   Candidates candidates(std::uint64_t PrefixHash) const;
-  std::size_t size() const { return Circle_.size(); }
+  std::size_t size() const { return Ring_.size(); }
 
 private:
-  std::vector<Member> Circle_; // sorted
+  std::vector<Member> Ring_; // sorted
 };
 
 } // namespace hawthornroad
--- a/tests/integration/AgentAttemptsTest.cpp
+++ b/tests/integration/AgentAttemptsTest.cpp
@@ -12,12 +12,12 @@
 
 using Answer = RawEntry::Answer;
 
-bool isAsked(const Answer &A) { return A.State_.has_value(); }
+bool hasState(const Answer &A) { return A.State_.has_value(); }
 
-// One agent with a plain service, and a raw entry that speaks to it frame by
-// frame.
-struct DeskFixture {
-  explicit DeskFixture(boost::json::object Agent = {})
+// One agent with a plain service, and a raw entry that exchanges single frames
+// with it.
+struct PlainServiceFixture {
+  explicit PlainServiceFixture(boost::json::object Agent = {})
       : Fleet_(FleetBuilder()
                    .modelVms(0)
                    .plainVms(1)
@@ -38,14 +38,14 @@
   std::int64_t runs() { return numberAt(service().counters(), "total"); }
   AttemptId newAttempt() { return {1, ++LastAttempt_}; }
 
-  // An address on which nobody listens now.
+  // An address without a listener.
   static std::string freeAddress() {
     boost::asio::io_context Context;
     return formatAddress(
         openAcceptor(Context, "127.0.0.1", 0).local_endpoint());
   }
-  // Processes of this test whose log holds Text.
-  int logsThatSay(const std::string &Text) {
+  // The number of processes of this test whose log contains Text.
+  int logsContaining(const std::string &Text) {
     int Found = 0;
     for (const auto &Each :
          std::filesystem::directory_iterator(Fleet_->folder().path()))
@@ -59,17 +59,18 @@
   std::uint64_t LastAttempt_ = 0;
 };
 
-struct ImpatientFixture : DeskFixture {
-  ImpatientFixture() : DeskFixture({{"endpoint_idle_ms", 300}}) {}
+struct ShortIdleTimeoutFixture : PlainServiceFixture {
+  ShortIdleTimeoutFixture()
+      : PlainServiceFixture({{"endpoint_idle_ms", 300}}) {}
 };
 
-struct SmallBufferFixture : DeskFixture {
+struct SmallBufferFixture : PlainServiceFixture {
   static constexpr std::size_t Buffer = 64 * 1024;
-  SmallBufferFixture() : DeskFixture({{"attempt_buffer", Buffer}}) {}
+  SmallBufferFixture() : PlainServiceFixture({{"attempt_buffer", Buffer}}) {}
 };
 
-struct LockFixture : DeskFixture {
-  LockFixture() : DeskFixture({{"lock_listen", freeAddress()}}) {}
+struct LockFixture : PlainServiceFixture {
+  LockFixture() : PlainServiceFixture({{"lock_listen", freeAddress()}}) {}
   Process replacement() {
     return Process({.Name_ = "replacement",
                     .Program_ = "hawthornroad-agent",
@@ -80,7 +81,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(DeskFixture,
+TEST_CASE_METHOD(PlainServiceFixture,
                  "attempt, begun at a ready agent, brings the whole answer",
                  "[agent]") {
   AttemptId Attempt = newAttempt();
@@ -91,16 +92,17 @@
   REQUIRE(A.Body_.find("\"echo\":\"crew\"") != std::string::npos);
 }
 
-// A crew is entered twice: the network delivers the frame that begins an
-// attempt a second time, here every frame of the entry, and the agent takes
-// the copy for new work.
-TEST_CASE_METHOD(DeskFixture, "begin, delivered twice, runs once", "[agent]") {
+// Guards against running a duplicated request: the network delivers the Begin
+// frame twice (here every frame of the entry), the agent takes the copy for new
+// work, and a crew is entered twice.
+TEST_CASE_METHOD(PlainServiceFixture, "begin, delivered twice, runs once",
+                 "[agent]") {
   Proxy Path(Fleet_->folder(), to());
   Path.setFaults(R"({"duplicate_frames":{"share":1.0,"seed":7}})");
   for (int I = 0; I < 20; ++I) {
     AttemptId Attempt = newAttempt();
     Entry_.send(Path.address(), begin(Attempt));
-    // Another copy once the first has run.
+    // Another copy after the first has run.
     Entry_.awaitOver(Attempt);
     Entry_.send(to(), begin(Attempt));
   }
@@ -110,16 +112,16 @@
   REQUIRE(runs() == 21);
 }
 
-// The entry finds its connection silent, asks over a fresh one, is told that
-// the agent never saw the attempt, and tells its caller "not run". Then the
-// silent path wakes up and delivers the Begin after all.
-TEST_CASE_METHOD(DeskFixture,
+// The entry's connection goes silent. It queries over a new one, learns that
+// the agent never saw the attempt, and answers its caller "not run". Then the
+// silent connection recovers and delivers the Begin after all.
+TEST_CASE_METHOD(PlainServiceFixture,
                  "begin, late after its attempt was denied, does not run",
                  "[agent]") {
   AttemptId Attempt = newAttempt();
   auto Query = RawEntry::about<wire::AttemptQueryT>(Attempt);
   Entry_.send(to(), Query);
-  Answer Asked = Entry_.await(Attempt, isAsked);
+  Answer Asked = Entry_.await(Attempt, hasState);
   REQUIRE(Asked.State_ == wire::AttemptPhase::NeverSeen);
   Entry_.sendFresh(to(), begin(Attempt));
   REQUIRE(Entry_.awaitOver(Attempt).Refused_.has_value());
@@ -133,9 +135,9 @@
       "the refusal is logged with its request");
 }
 
-// A connection dies with the answer half on its way. The entry asks over a
-// fresh one and gets the rest; the call has run once.
-TEST_CASE_METHOD(DeskFixture,
+// A connection fails with half of the answer sent. The entry queries over a new
+// one and gets the rest; the call has run once.
+TEST_CASE_METHOD(PlainServiceFixture,
                  "attempt that may not be repeated, its connection lost, is "
                  "found again over a fresh one",
                  "[agent]") {
@@ -153,9 +155,9 @@
   REQUIRE(runs() == 1);
 }
 
-// The endpoint accepts a call and says nothing more. The attempt must end, and
-// must not be called "not run": the service may have done the work.
-TEST_CASE_METHOD(ImpatientFixture,
+// The endpoint accepts a call and never answers. The attempt must end, and must
+// not be reported as "not run": the service may have done the work.
+TEST_CASE_METHOD(ShortIdleTimeoutFixture,
                  "attempt, at a silent endpoint, fails and is not called not "
                  "run",
                  "[agent]") {
@@ -168,9 +170,9 @@
   REQUIRE(A.Failed_->peer == service().address());
 }
 
-// The service dies after the work is done and before it can answer: the bytes
-// that came, if any, are no answer.
-TEST_CASE_METHOD(DeskFixture,
+// The service fails after the work is done and before it has answered: the
+// bytes received, if any, are not a complete answer.
+TEST_CASE_METHOD(PlainServiceFixture,
                  "attempt, cut off by its endpoint, fails without an end",
                  "[agent]") {
   service().setFaults(R"({"die_during":true})");
@@ -183,8 +185,9 @@
   REQUIRE(runs() == 1);
 }
 
-// A caller reads slowly and its entry acknowledges nothing: the agent would
-// keep the whole of a large answer in its 256 MB.
+// Guards against unbounded memory: a caller reads slowly, its entry
+// acknowledges nothing, and the agent would hold a whole large answer in its
+// 256 MB.
 TEST_CASE_METHOD(SmallBufferFixture,
                  "answer, not acknowledged, stops at the buffer and goes on "
                  "whole afterwards",
@@ -195,8 +198,8 @@
   Entry_.send(To, begin(Attempt, std::string(Large, 'x')));
   Entry_.await(Attempt,
                [](const Answer &A) { return A.Body_.size() >= Buffer; });
-  // Other calls go through the same threads, one after another: time enough
-  // for the whole of the large answer, were it not held back.
+  // Other calls run on the same threads, one after another. This is long enough
+  // to read the whole large answer, if reading were not paused.
   for (int I = 0; I < 100; ++I) {
     AttemptId Small = newAttempt();
     Entry_.send(To, begin(Small));
@@ -204,7 +207,7 @@
   }
   Answer Held = Entry_.now(Attempt);
   REQUIRE_FALSE(Held.End_);
-  // One read of the endpoint may be under way when the buffer fills.
+  // One read from the endpoint may be in progress when the buffer fills.
   REQUIRE(Held.Body_.size() <= 3 * Buffer);
   auto Acknowledge = [&] {
     auto Ack = RawEntry::about<wire::AttemptAckT>(Attempt);
@@ -218,10 +221,10 @@
 }
 
 // The agent's process is killed with a call in progress, and a replacement
-// starts on the VM. The old call's fate is unknown; the replacement must take
-// new work, and must not run the old call when its Begin is sent again after
-// the entry was told that it is not known here.
-TEST_CASE_METHOD(DeskFixture,
+// starts on the VM. The outcome of the old call is unknown. The replacement
+// must accept new work, and must not run the old call when its Begin is sent
+// again after a query for it was answered NeverSeen.
+TEST_CASE_METHOD(PlainServiceFixture,
                  "agent, killed with an attempt running, is replaced and runs "
                  "it no second time",
                  "[agent]") {
@@ -235,7 +238,7 @@
   Fleet_->awaitReady();
   std::string To = to();
   Entry_.send(To, RawEntry::about<wire::AttemptQueryT>(Attempt));
-  Entry_.await(Attempt, isAsked);
+  Entry_.await(Attempt, hasState);
   Entry_.send(To, begin(Attempt));
   REQUIRE(Entry_.awaitOver(Attempt).Refused_);
   AttemptId New = newAttempt();
@@ -244,23 +247,23 @@
   REQUIRE(runs() == 2);
 }
 
-// A replacement agent starts while its predecessor is alive, frozen, or being
-// debugged: two agents would give one engine contradictory orders.
+// A replacement agent starts while its predecessor is alive, suspended or being
+// debugged: two agents would send conflicting commands to one engine.
 TEST_CASE_METHOD(LockFixture,
                  "second agent on a VM, with the first alive or frozen, waits "
                  "and takes over at its death",
                  "[agent]") {
   Process Second = replacement();
   Process Third = replacement();
-  eventually([&] { return logsThatSay("waiting for its lock") == 2; },
+  eventually([&] { return logsContaining("waiting for its lock") == 2; },
              "both replacements wait");
   Third.terminate();
   REQUIRE(Third.waitExit() == 3);
   agent().Process_->freeze();
-  // Several tries of the second agent fall into the pause.
+  // The second agent retries several times during this pause.
   std::this_thread::sleep_for(std::chrono::seconds(1));
   REQUIRE(Second.running());
-  REQUIRE(logsThatSay("endpoint changed") == 1);
+  REQUIRE(logsContaining("endpoint changed") == 1);
   Fleet_->kill(agent());
   eventually(
       [&] { return get(Second.readyText("admin"), "/readyz").Status_ == 200; },
--- a/tests/unit/AdmissionTest.cpp
+++ b/tests/unit/AdmissionTest.cpp
@@ -45,7 +45,7 @@
                           Duration Budget = Seconds(30)) {
     return A_.offer(request(C, Budget), L, Now_);
   }
-  // Runs Count requests that take Took each, so that the rate is known.
+  // Runs Count requests of duration Took each, so that the rate is known.
   void learn(Duration Took, std::size_t Count = 64) {
     for (std::size_t I = 0; I < Count; ++I) {
       auto R = request(Large);
@@ -123,7 +123,7 @@
   struct Row {
     std::size_t Entries_, InFlight_;
   };
-  // The limit is 60; beyond 120 entries each still has one.
+  // The limit is 60; with more than 120 entries each still allows one.
   for (Row R : {Row{1, 60}, Row{2, 60}, Row{3, 40}, Row{10, 12}, Row{500, 1}}) {
     configure(R.Entries_);
     std::vector<RequestId> Ids;
@@ -143,7 +143,7 @@
 }
 
 TEST_CASE_METHOD(AdmissionFixture,
-                 "customer, over its rate, is told when a token is there",
+                 "customer, over its rate, is told when a token is available",
                  "[admission]") {
   auto Spend = [&] {
     auto R = request(Small);
@@ -164,10 +164,11 @@
 TEST_CASE_METHOD(AdmissionFixture,
                  "deadline, shorter than the backlog, is refused on arrival",
                  "[admission]") {
-  // A caller that must wait out its deadline in a queue learns too late to ask
-  // elsewhere, and its place is lost to one who would have been in time.
+  // Guards against queueing a request until its deadline passes: its caller
+  // learns too late to retry elsewhere, and its place in the queue is lost to a
+  // request that could have met its deadline.
   learn(Seconds(1));
-  occupy(2); // two places a second
+  occupy(2); // two places per second
   REQUIRE(offer(Large, Full_).Kind_ == Verdict::Queue);
   REQUIRE(offer(Large, Full_).Kind_ == Verdict::Queue);
   REQUIRE(offer(Large, Full_).Kind_ == Verdict::Queue);
@@ -177,7 +178,7 @@
   REQUIRE(Short.Refusal_.Cause_ == RefusalCause::DeadlineTooShort);
   REQUIRE(Short.Refusal_.RetryAfter_ >= Milliseconds(1500));
   REQUIRE(offer(Large, Full_, Seconds(4)).Kind_ == Verdict::Queue);
-  // Another customer's turn comes sooner.
+  // Another customer's request is served sooner.
   REQUIRE(offer(Small, Full_, Milliseconds(2500)).Kind_ == Verdict::Queue);
 }
 
@@ -199,7 +200,8 @@
   REQUIRE(First.Evicted_->Request_ == Waiting.back());
   REQUIRE(First.Evicted_->Cause_ == RefusalCause::QueueFull);
   REQUIRE(A_.waiting(Copywriter) == 6);
-  // The small one's second would weigh 2, the large one's five 1.25.
+  // Weighted backlog: 2 for two requests of the small customer, 1.25 for five
+  // of the large one.
   REQUIRE(offer(Small, Full_).Refusal_.Cause_ == RefusalCause::QueueFull);
   REQUIRE(A_.inProgress(Large) == 5);
   REQUIRE(A_.inProgress(Small) == 1);
@@ -212,7 +214,7 @@
   auto Second = request(Large);
   A_.offer(First, Full_, Now_);
   A_.offer(Second, Full_, Now_);
-  // With others waiting a newcomer queues, room or not.
+  // While others wait, a new request is queued even with a free place.
   REQUIRE(offer(Small, Room_).Kind_ == Verdict::Queue);
   std::set<RequestId> Got;
   while (auto Id = A_.next(Copywriter, Now_))
@@ -234,7 +236,8 @@
   REQUIRE(A_.offer(Later, Full_, Now_).Kind_ == Verdict::Queue);
   REQUIRE(A_.expire(Now_).empty());
   Now_ += Milliseconds(800);
-  // Taken from the queue too late to run: not handed out, and refused.
+  // Dequeued too late to meet its deadline: not returned by next(), and
+  // refused.
   REQUIRE(A_.next(Copywriter, Now_) == Later.Id_);
   auto Refused = A_.expire(Now_);
   REQUIRE(Refused.size() == 1);
@@ -269,9 +272,10 @@
   REQUIRE_FALSE(A_.next(Copywriter, Now_));
 }
 
-TEST_CASE_METHOD(AdmissionFixture,
-                 "service, taken from the declaration, refuses who waits",
-                 "[admission]") {
+TEST_CASE_METHOD(
+    AdmissionFixture,
+    "service, removed from the declaration, refuses queued requests",
+    "[admission]") {
   auto R = request(Large);
   A_.offer(R, Full_, Now_);
   A_.configure(DeclarationBuilder().build(), 1);
@@ -283,12 +287,12 @@
 }
 
 TEST_CASE_METHOD(AdmissionFixture,
-                 "callers, refused together, are asked back spread out",
+                 "callers, refused together, get spread retry delays",
                  "[admission]") {
-  // A thousand panels are refused in one second. Asked back after the same
-  // time they would come together and be refused together, for ever.
+  // A thousand callers are refused within one second. With equal retry delays
+  // they would return together and be refused together, indefinitely.
   learn(Seconds(1));
-  occupy(50); // 50 places a second
+  occupy(50); // 50 places per second
   std::vector<Duration> Times;
   for (int I = 0; I < 500; ++I)
     Times.push_back(A_.retryAfter(Copywriter, Now_));
@@ -301,12 +305,13 @@
   REQUIRE(*std::max_element(PerSecond.begin(), PerSecond.end()) <= 75);
 }
 
-TEST_CASE_METHOD(AdmissionFixture,
-                 "request, refused by its endpoint, waits again as the first",
-                 "[admission]") {
-  // In overload endpoints refuse some attempts that an entry believed to fit.
-  // Left outside the queue, these requests would be tried again at random, and
-  // a small customer's would lose to the many of a large one.
+TEST_CASE_METHOD(
+    AdmissionFixture,
+    "request, refused by its endpoint, is queued again as the first",
+    "[admission]") {
+  // Under overload endpoints refuse some attempts for which the entry expected
+  // a free place. Retried outside the queue, at random, these requests of a
+  // small customer would lose to the many of a large one.
   auto First = request(Small);
   REQUIRE(A_.offer(First, Room_, Now_).Kind_ == Verdict::Admit);
   auto Second = request(Small);
--- a/tests/unit/AttemptTableTest.cpp
+++ b/tests/unit/AttemptTableTest.cpp
@@ -13,8 +13,8 @@
 
 AttemptId id(std::uint64_t Number) { return {Number, Number}; }
 
-// A ready model endpoint of capacity 4 (and one place in its queue), and a
-// clock moved by hand.
+// A ready model endpoint of capacity 4 with one place in its queue, and a
+// manually advanced clock.
 struct TableFixture {
   AttemptLimits Limits_{.Buffer_ = 8, .Keep_ = Seconds(60)};
   AttemptTable Table_{attemptChart(CHARTS_DIR), Limits_};
@@ -65,7 +65,7 @@
   AttemptActions lose(RequesterId From) {
     return Table_.handle(RequesterLost{From}, Now_);
   }
-  AttemptActions pass(Duration Step) {
+  AttemptActions advance(Duration Step) {
     Now_ += Step;
     return Table_.tick(Now_);
   }
@@ -93,9 +93,9 @@
 
 } // namespace
 
-// A client is billed twice: its entry sends a Begin, the network delivers the
-// frame a second time (on the same or on another connection), and the agent
-// takes the copy for new work.
+// Guards against running a duplicated request: the network delivers a Begin
+// twice (on the same or another connection), the agent takes the copy for new
+// work, and a client is billed twice.
 TEST_CASE_METHOD(TableFixture, "attempt, begun twice, runs once", "[attempt]") {
   REQUIRE(begin(1) ==
           AttemptActions{SendAccepted{EntryA, id(1)}, StartRun{id(1)}});
@@ -106,8 +106,8 @@
   REQUIRE(Table_.running() == 0);
 }
 
-// The entry asked on a fresh connection, was told "never seen" and told its
-// caller "not run"; then the Begin, held up on the old path, arrives.
+// The entry queried on a new connection, received NeverSeen and answered its
+// caller "not run"; then the Begin, delayed on the old connection, arrives.
 TEST_CASE_METHOD(TableFixture,
                  "begin, late after its attempt was denied, is refused",
                  "[attempt]") {
@@ -115,14 +115,14 @@
   AttemptActions Late = begin(1);
   REQUIRE(all<StartRun>(Late).empty());
   only<SendRefused>(Late);
-  pass(Seconds(59));
+  advance(Seconds(59));
   REQUIRE(all<StartRun>(begin(1)).empty());
   REQUIRE(only<SendState>(query(1, 0)).Phase_ == AttemptPhase::NeverSeen);
 }
 
-// As above, with a cancel that overtakes its Begin, or a refusal followed by
-// the Begin's second copy when room has been found: what was called "not run"
-// must not run.
+// As above, with a cancel that overtakes its Begin, or a refusal followed by a
+// copy of the Begin when capacity is available again: a request reported as
+// "not run" must not run.
 TEST_CASE_METHOD(TableFixture,
                  "begin, repeated after a refusal or a cancel, is refused "
                  "again",
@@ -135,22 +135,22 @@
   Facts_.Phase_ = EndpointPhase::Ready;
   Table_.setEndpoint(Facts_);
   REQUIRE(only<SendRefused>(begin(2)).Reason_ == AttemptRefusal::NotReady);
-  pass(Seconds(1199));
+  advance(Seconds(1199));
   REQUIRE(all<StartRun>(begin(2)).empty());
-  pass(Seconds(1));
+  advance(Seconds(1));
   REQUIRE(all<StartRun>(begin(2)).size() == 1);
 }
 
-// An entry is frozen for minutes while its attempt runs and ends. Thawed, it
-// asks: "never seen" would let it say "not run" of a crew that is entered. A
-// late copy of the Begin would enter the crew twice.
+// An entry is suspended for minutes while its attempt runs and ends, then
+// resumes and queries it. The answer NeverSeen would let it report "not run"
+// for a crew entry that was made; a late copy of the Begin would make it twice.
 TEST_CASE_METHOD(TableFixture,
                  "attempt, forgotten after it ran, is not called unseen and "
                  "does not run again",
                  "[attempt]") {
   begin(1);
   whole(1);
-  pass(Seconds(300));
+  advance(Seconds(300));
   REQUIRE(Table_.finished() == 0);
   AttemptActions Asked = query(1, 0);
   REQUIRE(only<SendState>(Asked).Phase_ == AttemptPhase::Finished);
@@ -162,10 +162,10 @@
   REQUIRE(all<SendRefused>(Dropped).empty());
 }
 
-// The process had no room for a Begin's second copy while the first one runs:
-// a refusal would call "not run" what is running.
+// The process drops the second copy of a Begin while the first one runs: a
+// refusal would report a running attempt as "not run".
 TEST_CASE_METHOD(TableFixture,
-                 "dropped begin, while its twin runs, is not refused",
+                 "dropped begin, while its first copy runs, is not refused",
                  "[attempt]") {
   begin(1);
   REQUIRE(Table_.handle(BeginDropped{id(1), EntryA}, Now_).empty());
@@ -254,15 +254,15 @@
   AttemptActions Declined = head(2, 503, VersionDigest());
   REQUIRE(only<SendFailed>(Declined).Failure_.NotRun_);
   REQUIRE(only<StopRun>(Declined).Attempt_ == id(2));
-  // A plain service's 503 is its own answer.
+  // The 503 of a plain service is a regular answer.
   Facts_.IsModel_ = false;
   Table_.setEndpoint(Facts_);
   begin(3);
   REQUIRE(only<SendHead>(head(3, 503, VersionDigest())).Head_.Status_ == 503);
 }
 
-// A panel shows two versions' words: the engine was reloaded between the
-// acceptance of a request and its run.
+// Guards against text of two versions in one answer: the engine was reloaded
+// between the acceptance of a request and its run.
 TEST_CASE_METHOD(TableFixture,
                  "answer, of another version than the pinned one, passes no "
                  "byte",
@@ -284,7 +284,7 @@
   head(1);
   REQUIRE(all<PauseRun>(data(1, "1234567")).empty());
   only<PauseRun>(data(1, "8"));
-  // Bytes already read before the pause took hold are kept too.
+  // Bytes already read before the pause took effect are kept too.
   REQUIRE(only<SendData>(data(1, "9")).Offset_ == 8);
   AttemptActions Early = ack(1, 4);
   REQUIRE(all<ResumeRun>(Early).empty());
@@ -292,13 +292,13 @@
   AttemptActions Enough = ack(1, 6);
   only<ResumeRun>(Enough);
   REQUIRE(only<ReleaseRun>(Enough).Offset_ == 6);
-  // Twice, and out of order: nothing more is free.
+  // Duplicate and out of order: nothing more is freed.
   REQUIRE(ack(1, 6).empty());
   REQUIRE(ack(1, 4).empty());
 }
 
-// The entry's connection goes silent: it asks on a fresh one and must get what
-// it lacks, once, and all that follows, while the old connection gets nothing.
+// The entry's connection goes silent. It queries on a new one and must get the
+// missing bytes once, and all that follow; the old connection gets nothing.
 TEST_CASE_METHOD(TableFixture,
                  "query, of a running attempt, moves the answer to its "
                  "connection",
@@ -321,7 +321,7 @@
 }
 
 TEST_CASE_METHOD(TableFixture,
-                 "query, for bytes given back already, fails and gives no gap",
+                 "query, for bytes already freed, fails and gives no gap",
                  "[attempt]") {
   begin(1);
   head(1);
@@ -334,8 +334,8 @@
   only<SendEnd>(query(1, 4));
 }
 
-// An entry dies with an invoice in progress: stopping it would leave nobody
-// able to say whether it ran. A question to a model may be asked again.
+// An entry fails with an invoice in progress: if the attempt were stopped, it
+// would be unknown whether it ran. A request to a model may be repeated.
 TEST_CASE_METHOD(TableFixture,
                  "attempt, with its entry lost, goes on when it may not be "
                  "repeated",
@@ -343,11 +343,11 @@
   begin(1, true);
   begin(2, false);
   lose(EntryA);
-  REQUIRE(pass(Milliseconds(9999)).empty());
-  AttemptActions Due = pass(Milliseconds(1));
+  REQUIRE(advance(Milliseconds(9999)).empty());
+  AttemptActions Due = advance(Milliseconds(1));
   REQUIRE(only<StopRun>(Due).Attempt_ == id(1));
   REQUIRE(all<SendFailed>(Due).empty());
-  pass(Seconds(100));
+  advance(Seconds(100));
   REQUIRE(Table_.running() == 1);
   head(2);
   REQUIRE(all<SendData>(data(2, "ab")).empty());
@@ -360,10 +360,10 @@
                  "[attempt]") {
   begin(1);
   lose(EntryA);
-  pass(Seconds(9));
+  advance(Seconds(9));
   query(1, 0);
-  REQUIRE(pass(Seconds(9)).empty());
-  REQUIRE(only<StopRun>(pass(Seconds(13))).Attempt_ == id(1));
+  REQUIRE(advance(Seconds(9)).empty());
+  REQUIRE(only<StopRun>(advance(Seconds(13))).Attempt_ == id(1));
 }
 
 TEST_CASE_METHOD(TableFixture,
@@ -373,8 +373,8 @@
   begin(1, false);
   head(1);
   data(1, "12345678");
-  REQUIRE(pass(Seconds(30)).empty());
-  only<StopRun>(pass(Seconds(1)));
+  REQUIRE(advance(Seconds(30)).empty());
+  only<StopRun>(advance(Seconds(1)));
   REQUIRE(Table_.running() == 0);
 }
 
--- a/tests/unit/CallerAnswerTest.cpp
+++ b/tests/unit/CallerAnswerTest.cpp
@@ -41,9 +41,9 @@
 
 TEST_CASE("event splitter, fed in pieces cut anywhere, gives the same as byte "
           "by byte") {
-  // A read ends anywhere: within "data", between CR and LF, after the first
-  // of two line ends. A caller that is resumed at a wrong count of events sees
-  // a token twice or not at all.
+  // A read can end anywhere: within "data", between CR and LF, after the first
+  // of two line ends. After a resume at a wrong event count the caller gets a
+  // token twice or not at all.
   const std::vector<std::string> Parts = {"\r", "\n",   "\r\n", "da",
                                           "ta", "data", ": x",  ":"};
   Random R(7);
--- a/tests/unit/ChooserTest.cpp
+++ b/tests/unit/ChooserTest.cpp
@@ -30,7 +30,7 @@
     S.Capacity_ = 4;
     return S;
   }
-  // Sends S as the next word of its endpoint.
+  // Applies S as the next report of its endpoint.
   void tell(EndpointStatus S) {
     S.Sequence_ = Last_[S.Vm_].Sequence_ + 1;
     Last_[S.Vm_] = S;
@@ -82,8 +82,8 @@
 TEST_CASE_METHOD(ChooserFixture,
                  "own attempts, while reports lag, fill each place once",
                  "[chooser]") {
-  // A report of "idle" that is seconds old must not let one entry put more
-  // than the declared attempts on an endpoint.
+  // A report of an idle endpoint that is seconds old must not let one entry
+  // send it more than the declared number of attempts.
   addReady(3);
   for (std::size_t I = 0; I < 12; ++I)
     REQUIRE(send(query()));
@@ -113,7 +113,7 @@
 
 TEST_CASE_METHOD(
     ChooserFixture,
-    "word of an endpoint, doubled or out of order, changes nothing",
+    "report of an endpoint, repeated or out of order, changes nothing",
     "[chooser]") {
   EndpointStatus First = status(0);
   First.Sequence_ = 5;
@@ -148,9 +148,9 @@
 TEST_CASE_METHOD(ChooserFixture,
                  "endpoint, leaving with requests in flight, gets no new ones",
                  "[chooser]") {
-  // A planned stop: callers would see cut answers or a second run if the
-  // leaving endpoint were chosen again, or if the ends of its attempts, which
-  // come after it left, were counted against its successor.
+  // A planned stop: callers would see truncated answers or a second run if the
+  // leaving endpoint were chosen again, or if attempts that end after it left
+  // were counted against its successor.
   addReady(1);
   REQUIRE(send(query()));
   REQUIRE(send(query()));
@@ -171,7 +171,7 @@
 }
 
 TEST_CASE_METHOD(ChooserFixture,
-                 "zones, while the own one has a place, are not crossed",
+                 "other zones, while the own one has a place, are not used",
                  "[chooser]") {
   addReady(1);
   addReady(1, Other, 1);
@@ -238,10 +238,10 @@
 }
 
 TEST_CASE_METHOD(ChooserFixture,
-                 "endpoint, failing fast, is ejected and probed back",
+                 "endpoint, failing fast, is ejected and readmitted by probes",
                  "[chooser]") {
-  // An endpoint that fails at once always looks idle, and least load sends it
-  // every request. Callers would see one error after another.
+  // An endpoint that fails at once always appears idle, so choosing the least
+  // loaded sends it every request, and callers see one error after another.
   addReady(4);
   for (std::size_t I = 1; I < 4; ++I)
     answer(vm(I));
@@ -300,8 +300,8 @@
   }
   REQUIRE(C_.all().empty());
   REQUIRE(C_.readyCount(Copywriter) == 0);
-  // The oldest is forgotten, so even its old word is new again; the latest is
-  // remembered, so the same word of it is not.
+  // The oldest endpoint has been evicted, so an old report of it is accepted
+  // again; the latest is still known, so a repeated report of it is not.
   C_.update(Last_[vm(0)], Now_);
   C_.update(Last_[vm(9999)], Now_);
   REQUIRE(C_.find(vm(0)));
@@ -312,8 +312,8 @@
                  "slow endpoint, by its report or its first bytes, is shunned "
                  "while others have places",
                  "[chooser]") {
-  // Least load alone sends a slow endpoint as many requests as it can hold:
-  // one caller in five would wait four times as long.
+  // Choosing by load alone sends a slow endpoint as many requests as it can
+  // hold: one caller in five would wait four times as long.
   const bool IsReported = GENERATE(true, false);
   addReady(5);
   for (std::size_t I = 0; I < 5; ++I) {
@@ -338,9 +338,9 @@
     ChooserFixture,
     "entries, competing for full endpoints, share them about evenly",
     "[chooser]") {
-  // One entry holds every place and fills each again as it comes free. Its
-  // neighbour never sees one free, so that entry's callers wait out their
-  // deadlines while the first one's are served.
+  // One entry holds every place and refills each as soon as it is freed. A
+  // second entry never sees a free place, so its callers wait until their
+  // deadlines pass while the first one's are served.
   addReady(5);
   Chooser Late(Random(11), Own);
   std::map<Vm, std::size_t> Early, LateHeld;
@@ -352,7 +352,7 @@
   };
   auto Fill = [&](Chooser &C, std::map<Vm, std::size_t> &Mine) {
     while (auto V = C.choose(query(), Now_)) {
-      if (Early[*V] + LateHeld[*V] >= 5) { // what the agent takes
+      if (Early[*V] + LateHeld[*V] >= 5) { // the limit of the agent
         C.dispatched(*V, Now_);
         C.finished(*V, Chooser::Result::Refused, Now_);
         continue;
@@ -393,11 +393,11 @@
 
 TEST_CASE_METHOD(
     ChooserFixture,
-    "endpoints, most of them failing fast, do not draw the requests",
+    "endpoints, most of them failing fast, do not attract the requests",
     "[chooser]") {
-  // A bad release fails at once on most endpoints. They have free places all
-  // the time and none stands out among its peers, so least load sends them
-  // everything, though the sound ones could serve it.
+  // A bad release fails at once on most endpoints. They always have free places
+  // and none is an outlier among its peers, so choosing the least loaded sends
+  // them every request, although the healthy ones could serve them.
   addReady(6);
   std::size_t Failed = 0;
   std::vector<Vm> Running;
--- a/tests/unit/FairQueueTest.cpp
+++ b/tests/unit/FairQueueTest.cpp
@@ -39,14 +39,15 @@
   REQUIRE(popped(40, Large) == 30);
 }
 
-TEST_CASE_METHOD(FairQueueFixture,
-                 "customer, back from idleness, neither pays nor saves up",
-                 "[fairqueue]") {
+TEST_CASE_METHOD(
+    FairQueueFixture,
+    "customer, active after idling, is neither penalised nor credited",
+    "[fairqueue]") {
   push(Small, 1, 1);
   push(Large, 1, 100);
   REQUIRE(popped(51, Small) == 1);
   push(Small, 1, 20);
-  // Half of the places from now on, not all of the next twenty.
+  // It gets half of the places from now on, not all of the next twenty.
   std::size_t Got = popped(20, Small);
   REQUIRE(Got >= 9);
   REQUIRE(Got <= 11);
@@ -86,8 +87,8 @@
                  "full queue, needing a victim, names the largest weighted "
                  "backlog's latest",
                  "[fairqueue]") {
-  push(Large, 4, 8);                  // 2 a weight
-  push(Small, 1, 3);                  // 3 a weight
+  push(Large, 4, 8);                  // 2 per unit of weight
+  push(Small, 1, 3);                  // 3 per unit of weight
   push(Small, 1, 1, Priority::Batch); // 4
   FairQueue::Item Newcomer = make(Large);
   auto Victim = Q_.victimFor(Newcomer, 4);
@@ -96,9 +97,10 @@
   REQUIRE(Victim->Priority_ == Priority::Batch);
   REQUIRE(Q_.remove(*Victim));
   REQUIRE_FALSE(Q_.remove(*Victim));
-  // The most backlogged customer's own newcomer is the latest.
+  // The newcomer of the customer with the largest backlog is its latest
+  // request.
   REQUIRE_FALSE(Q_.victimFor(make(Small), 1));
-  // Unless it has something of a lower class waiting.
+  // Unless that customer has a queued request of a lower class.
   push(Small, 1, 1, Priority::Batch);
   auto Own = Q_.victimFor(make(Small), 1);
   REQUIRE(Own);
--- a/tests/unit/LoadEstimateTest.cpp
+++ b/tests/unit/LoadEstimateTest.cpp
@@ -14,7 +14,7 @@
     for (std::size_t I = 0; I < Count; ++I)
       L_.dispatched(Now_);
   }
-  // Reports each second what others and this entry have in progress.
+  // Reports each second the attempts of this entry and the others.
   void reportFor(Seconds Length, double Others) {
     for (TimePoint End = Now_ + Length; Now_ < End; Now_ += Seconds(1))
       L_.report(Others + double(L_.own()), Now_);
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE_METHOD(LoadFixture,
-                 "others' load, when reports stop, drifts to the typical",
+                 "others' load, when reports stop, converges to the typical",
                  "[load]") {
   struct Row {
     Seconds Silent_;
@@ -82,8 +82,8 @@
 
 TEST_CASE("windows, of unequal entries, even out under common refusals",
           "[load]") {
-  // Two entries share 100 places and use all they may; when both together
-  // exceed them, each is refused in proportion to what it has in progress.
+  // Two entries share 100 places and use their whole windows; when their sum
+  // exceeds the places, each is refused in proportion to its attempts.
   ConcurrencyWindow Large, Small;
   Large.refused(60);
   Small.refused(4);
@@ -110,10 +110,10 @@
 }
 
 TEST_CASE("window, holding requests back at any size, grows", "[load]") {
-  // A burst shrinks an entry's window. Between two whole numbers, what is in
-  // progress can be well below it and yet one more not allowed: taken for a
-  // window that holds nothing back, it never grew again, and that entry kept
-  // its callers waiting for good beside idle endpoints.
+  // Guards against a window that never grows again after a burst has shrunk it.
+  // With a fractional window the attempts in progress can be well below its
+  // size although one more is not allowed. If such a window is taken as not
+  // limiting, its entry keeps callers waiting forever while endpoints are idle.
   for (double InProgress = 1; InProgress < 30; ++InProgress) {
     ConcurrencyWindow W;
     for (double Step = 0; Step < 50; ++Step) {
--- a/tests/unit/OutlierEjectionTest.cpp
+++ b/tests/unit/OutlierEjectionTest.cpp
@@ -12,7 +12,8 @@
   TimePoint Now_{Seconds(1000)};
   std::size_t Members_ = 6;
 
-  // 'a' answered, 'f' failed, of Bad_; 'A' and 'F' of Good_.
+  // Applies results: 'a' answered and 'f' failed for Bad_, 'A' and 'F' for
+  // Good_.
   bool play(const std::string &Script) {
     bool Ejected = false;
     for (char C : Script) {
@@ -24,7 +25,7 @@
     }
     return Ejected;
   }
-  // Lets the ejection pass and gives the endpoint one attempt.
+  // Waits for the end of the ejection and gives the endpoint one attempt.
   void probe(bool IsGood) {
     Now_ = Bad_.Until_;
     REQUIRE(Bad_.mayProbe(Now_));
@@ -57,19 +58,19 @@
 }
 
 TEST_CASE_METHOD(OutlierFixture,
-                 "ejected endpoint, failing its probes, stays out longer",
+                 "ejected endpoint, failing its probes, stays ejected longer",
                  "[outlier]") {
   play("AAAfff");
   Duration Last = Duration::zero();
   for (int I = 0; I < 8; ++I) {
     Duration Length = Bad_.Until_ - Now_;
     REQUIRE(Length >= Last);
-    REQUIRE(Length <= OutlierEjection::LongestEjection);
+    REQUIRE(Length <= OutlierEjection::MaxEjection);
     Last = Length;
     probe(false);
     REQUIRE(Bad_.Ejected_);
   }
-  REQUIRE(Last == OutlierEjection::LongestEjection);
+  REQUIRE(Last == OutlierEjection::MaxEjection);
   probe(true);
   REQUIRE(Bad_.Ejected_);
   probe(true);
@@ -77,9 +78,10 @@
   REQUIRE(Group_.ejected() == 0);
 }
 
-TEST_CASE_METHOD(OutlierFixture,
-                 "late failures, of attempts from before, do not lengthen it",
-                 "[outlier]") {
+TEST_CASE_METHOD(
+    OutlierFixture,
+    "late failures, of attempts from before, do not prolong the ejection",
+    "[outlier]") {
   play("AAAfff");
   TimePoint Until = Bad_.Until_;
   play("ffff");
@@ -96,5 +98,5 @@
   };
   for (Row R :
        {Row{0, 0}, Row{1, 0}, Row{2, 1}, Row{3, 1}, Row{9, 3}, Row{100, 33}})
-    REQUIRE(OutlierEjection::mostEjected(R.Members_) == R.Most_);
+    REQUIRE(OutlierEjection::maxEjected(R.Members_) == R.Most_);
 }
