--- a/hawthornroad/peers/AttemptCodec.cpp
+++ b/hawthornroad/peers/AttemptCodec.cpp
@@ -80,7 +80,7 @@
   return makeFrame(std::move(M));
 }
 
-FrameBuffer toFrame(const AskAttempt &A) {
+FrameBuffer toFrame(const QueryAttempt &A) {
   wire::AttemptQueryT M;
   M.attempt = toWire(A.Attempt_);
   M.offset = A.Offset_;
@@ -94,8 +94,8 @@
   return makeFrame(std::move(M));
 }
 
-std::optional<AttemptWord> toAttemptWord(const wire::FrameT &Frame,
-                                         Incarnation From) {
+std::optional<AttemptUpdate> toAttemptWord(const wire::FrameT &Frame,
+                                           Incarnation From) {
   const wire::BodyUnion &Body = Frame.body;
   if (const auto *M = Body.AsAttemptAccepted())
     return AttemptAccepted{source(*M, From)};
--- a/hawthornroad/peers/AttemptCodec.h
+++ b/hawthornroad/peers/AttemptCodec.h
@@ -12,12 +12,12 @@
 
 FrameBuffer toFrame(const BeginAttempt &B);
 FrameBuffer toFrame(const CancelAttempt &C);
-FrameBuffer toFrame(const AskAttempt &A);
+FrameBuffer toFrame(const QueryAttempt &A);
 FrameBuffer toFrame(const AckAttempt &A);
 
 // Nullopt when the frame is no word of an attempt.
-std::optional<AttemptWord> toAttemptWord(const wire::FrameT &Frame,
-                                         Incarnation From);
+std::optional<AttemptUpdate> toAttemptWord(const wire::FrameT &Frame,
+                                           Incarnation From);
 
 } // namespace hawthornroad
 
--- a/hawthornroad/routing/Admission.cpp
+++ b/hawthornroad/routing/Admission.cpp
@@ -1,7 +1,7 @@
 #include "hawthornroad/routing/Admission.h"
 
 #include "hawthornroad/routing/FairQueue.h"
-#include "hawthornroad/routing/ReturnTimes.h"
+#include "hawthornroad/routing/RetryAfterTimes.h"
 #include "hawthornroad/routing/ServiceRate.h"
 #include "hawthornroad/routing/TokenBucket.h"
 
@@ -51,7 +51,7 @@
   TokenBucket Bucket_;
   // Requests admitted or waiting.
   std::size_t InProgress_ = 0;
-  ReturnTimes Returns_;
+  RetryAfterTimes Returns_;
 };
 
 struct ServiceState {
@@ -59,7 +59,7 @@
   bool Declared_ = true;
   FairQueue Queue_;
   ServiceRate Rate_;
-  ReturnTimes Returns_;
+  RetryAfterTimes Returns_;
   // Dequeued too late to meet their deadlines; expire() refuses them.
   std::vector<FairQueue::Item> TooLate_;
 };
@@ -252,7 +252,7 @@
   }
 
   double Ahead = S->Queue_.aheadOf(Name, R.Priority_, A->Weight_);
-  Duration Needed = S->Rate_.timeFor(Ahead + 1) + S->Rate_.longest();
+  Duration Needed = S->Rate_.timeUntilFree(Ahead + 1) + S->Rate_.longest();
   if (R.Deadline_ < Now + Needed)
     return {.Kind_ = Verdict::Refuse,
             .Refusal_ = State_->refuse(R.Id_, RefusalCause::DeadlineTooShort, S,
@@ -365,7 +365,7 @@
 Duration Admission::retryAfter(const ServiceName &Service, TimePoint Now) {
   auto Found = State_->Services_.find(Service);
   if (Found == State_->Services_.end())
-    return ReturnTimes::Least;
+    return RetryAfterTimes::MinRetryAfter;
   return State_
       ->refuse({}, RefusalCause::NoEndpoint, &Found->second, nullptr, {}, Now)
       .RetryAfter_;
--- a/hawthornroad/routing/AttemptTable.cpp
+++ b/hawthornroad/routing/AttemptTable.cpp
@@ -92,11 +92,12 @@
       SendRefused{From, Attempt, Reason, retryAfter(Reason, Facts_, MeanRun_)}};
 }
 
-AttemptActions AttemptTable::repeatOutcome(const AttemptId &Attempt,
-                                           const PastAttempts::Fate &Fate,
-                                           RequesterId From, TimePoint Now) {
-  if (Fate.Refusal_)
-    return refuse(Attempt, *Fate.Refusal_, From, Now);
+AttemptActions
+AttemptTable::repeatOutcome(const AttemptId &Attempt,
+                            const PastAttempts::FinalState &FinalState,
+                            RequesterId From, TimePoint Now) {
+  if (FinalState.Refusal_)
+    return refuse(Attempt, *FinalState.Refusal_, From, Now);
   return {SendFailed{From, Attempt, answerDropped()}};
 }
 
@@ -105,8 +106,8 @@
   // A duplicate Begin: the first one runs and keeps its requester.
   if (Attempts_.contains(Id))
     return {};
-  if (auto Fate = Past_.find(Id))
-    return repeatOutcome(Id, *Fate, E.From_, Now);
+  if (auto FinalState = Past_.find(Id))
+    return repeatOutcome(Id, *FinalState, E.From_, Now);
   if (auto Reason =
           refusalOf(E.Spec_, Facts_, Limits_, {Running_.size(), BodyBytes_}))
     return refuse(Id, *Reason, E.From_, Now);
@@ -122,8 +123,8 @@
 AttemptActions AttemptTable::handle(const BeginDropped &E, TimePoint Now) {
   if (Attempts_.contains(E.Attempt_))
     return {};
-  if (auto Fate = Past_.find(E.Attempt_))
-    return repeatOutcome(E.Attempt_, *Fate, E.From_, Now);
+  if (auto FinalState = Past_.find(E.Attempt_))
+    return repeatOutcome(E.Attempt_, *FinalState, E.From_, Now);
   return refuse(E.Attempt_, AttemptRefusal::Overloaded, E.From_, Now);
 }
 
@@ -139,8 +140,8 @@
 }
 
 AttemptActions AttemptTable::deny(const QueryReceived &E, TimePoint Now) {
-  auto Fate = Past_.find(E.Attempt_);
-  if (Fate && !Fate->Refusal_)
+  auto FinalState = Past_.find(E.Attempt_);
+  if (FinalState && !FinalState->Refusal_)
     return {SendState{E.From_, E.Attempt_, AttemptPhase::Finished, 0},
             SendFailed{E.From_, E.Attempt_, answerDropped()}};
   Past_.addRefused(E.Attempt_, AttemptRefusal::Overloaded, Now);
--- a/hawthornroad/routing/AttemptTable.h
+++ b/hawthornroad/routing/AttemptTable.h
@@ -78,7 +78,7 @@
   std::size_t unacknowledged() const { return Unacknowledged_; }
   std::size_t finished() const { return FinishedOrder_.size(); }
   std::uint64_t finishedBytes() const { return FinishedBytes_; }
-  std::uint64_t forgottenEarly() const { return Past_.forgottenEarly(); }
+  std::uint64_t evictedEarly() const { return Past_.evictedEarly(); }
 
 private:
   struct Attempt;
@@ -88,8 +88,8 @@
   AttemptActions refuse(const AttemptId &Attempt, AttemptRefusal Reason,
                         RequesterId From, TimePoint Now);
   AttemptActions repeatOutcome(const AttemptId &Attempt,
-                               const PastAttempts::Fate &Fate, RequesterId From,
-                               TimePoint Now);
+                               const PastAttempts::FinalState &FinalState,
+                               RequesterId From, TimePoint Now);
   AttemptActions deny(const QueryReceived &E, TimePoint Now);
   AttemptActions fire(Attempt &A, Event E, TimePoint Now);
   void perform(const Attempt &A, std::size_t Which, AttemptActions &Out) const;
--- a/hawthornroad/routing/ClaimCore.cpp
+++ b/hawthornroad/routing/ClaimCore.cpp
@@ -33,7 +33,7 @@
   GivenUp
 };
 enum class Guard { IsFresh, HasTries, SentNothing };
-enum class Act {
+enum class Action {
   Create,
   TakeOver,
   Read,
@@ -48,13 +48,13 @@
   Touch
 };
 
-constexpr double RetrySpread = 0.5;
+constexpr double RetryJitter = 0.5;
 constexpr unsigned StatusUnavailable = 503;
 
 struct Claim {
   SharedRequest Request_;
   std::size_t State_ = 0;
-  // Number of the call whose answer is awaited; 0 when none is.
+  // Number of the outstanding call; 0 when there is none.
   std::uint64_t Call_ = 0;
   TimePoint StartedAt_;
   TimePoint SentAt_;
@@ -63,10 +63,10 @@
   unsigned Tries_ = 0;
   unsigned WritesSent_ = 0;
   std::string Etag_;
-  // What the last read found.
+  // The result of the last read.
   std::string FoundText_;
   std::optional<ClaimRecord> Found_;
-  // What is or shall be in the table.
+  // The record as it is, or will be, in the table.
   ClaimRecord Own_;
 
   Phase phase() const { return static_cast<Phase>(State_); }
@@ -93,7 +93,7 @@
 
   void fire(Claim &C, Event E, TimePoint Now);
   bool guard(const Claim &C, Guard G, TimePoint Now) const;
-  void perform(Claim &C, Act A, TimePoint Now);
+  void perform(Claim &C, Action A, TimePoint Now);
   void write(Claim &C, const ClaimRecord &Record, const std::string &Etag,
              TimePoint Now);
   void writeText(Claim &C, std::string Text, const std::string &Etag,
@@ -101,19 +101,19 @@
   void read(Claim &C, TimePoint Now);
   void readLater(Claim &C, TimePoint Now);
   void denyOutage(Claim &C, TimePoint Now);
-  Event classify(Claim &C, const ClaimAnswer &A, TimePoint Now) const;
+  Event classify(Claim &C, const ClaimCallResult &A, TimePoint Now) const;
   ClaimRecord ownRecord(const CallerRequest &R, TimePoint Now) const;
   std::int64_t epochMs(TimePoint At) const;
-  void noteHealth(ClaimAnswer::Kind Kind);
-  Actions take();
+  void updateOutage(ClaimCallResult::Kind Kind);
+  Actions takeActions();
 
   Options Options_;
   Chart Chart_;
   Random Rng_;
-  std::int64_t WallMs_ = 0;
-  TimePoint WallAt_;
+  std::int64_t WallClockMs_ = 0;
+  TimePoint WallClockAt_;
   std::uint64_t NextCall_ = 1;
-  unsigned FailuresInARow_ = 0;
+  unsigned ConsecutiveFailures_ = 0;
   TimePoint LastProbe_;
   std::uint64_t Dropped_ = 0;
   std::unordered_map<RequestId, Claim> Claims_;
@@ -123,20 +123,20 @@
 };
 
 std::int64_t ClaimCore::State::epochMs(TimePoint At) const {
-  return WallMs_ +
-         std::chrono::duration_cast<Milliseconds>(At - WallAt_).count();
+  return WallClockMs_ +
+         std::chrono::duration_cast<Milliseconds>(At - WallClockAt_).count();
 }
 
 ClaimRecord ClaimCore::State::ownRecord(const CallerRequest &R,
                                         TimePoint Now) const {
-  ClaimRecord Made;
-  Made.Token_ = R.Id_.str() + "@" + std::to_string(Options_.Incarnation_);
-  Made.Holder_ = Options_.Holder_;
-  Made.Call_ = callHash(R);
-  Made.DeadlineMs_ = epochMs(R.Deadline_);
+  ClaimRecord NewRecord;
+  NewRecord.Token_ = R.Id_.str() + "@" + std::to_string(Options_.Incarnation_);
+  NewRecord.Holder_ = Options_.Holder_;
+  NewRecord.Call_ = callHash(R);
+  NewRecord.DeadlineMs_ = epochMs(R.Deadline_);
   auto Keep = std::chrono::duration_cast<Milliseconds>(Options_.Keep_).count();
-  Made.ExpiresMs_ = Made.DeadlineMs_ + Keep;
-  return Made;
+  NewRecord.ExpiresMs_ = NewRecord.DeadlineMs_ + Keep;
+  return NewRecord;
 }
 
 void ClaimCore::State::fire(Claim &C, Event E, TimePoint Now) {
@@ -148,7 +148,7 @@
     return;
   C.State_ = S.Next_;
   for (std::size_t Index : S.Actions_)
-    perform(C, static_cast<Act>(Index), Now);
+    perform(C, static_cast<Action>(Index), Now);
   if (Chart_.isFinal(C.State_))
     Done_.push_back(C.Request_->Id_);
 }
@@ -165,38 +165,38 @@
   return false;
 }
 
-void ClaimCore::State::perform(Claim &C, Act A, TimePoint Now) {
+void ClaimCore::State::perform(Claim &C, Action A, TimePoint Now) {
   switch (A) {
-  case Act::Create:
+  case Action::Create:
     ++C.Tries_;
     return write(C, C.Own_, "", Now);
-  case Act::TakeOver:
+  case Action::TakeOver:
     ++C.Tries_;
     return write(C, C.Own_, C.Etag_, Now);
-  case Act::Read:
+  case Action::Read:
     return read(C, Now);
-  case Act::ReadLater:
+  case Action::ReadLater:
     return readLater(C, Now);
-  case Act::Confirm:
+  case Action::Confirm:
     return write(C, C.Own_, C.Etag_, Now);
-  case Act::Win:
-    Out_.push_back(ClaimWord(ClaimWon{C.Request_->Id_}));
+  case Action::Win:
+    Out_.push_back(ClaimVerdict(ClaimWon{C.Request_->Id_}));
     return;
-  case Act::Tell:
+  case Action::Tell:
     Out_.push_back(claimVerdict(*C.Request_, C.Found_.value_or(ClaimRecord{}),
                                 epochMs(Now), Options_.ClockSlack_));
     return;
-  case Act::DenyOutage:
+  case Action::DenyOutage:
     return denyOutage(C, Now);
-  case Act::WriteOutcome:
+  case Action::WriteOutcome:
     return write(C, C.Own_, C.Etag_, Now);
-  case Act::WriteNotRun:
+  case Action::WriteNotRun:
     C.Own_.Phase_ = ClaimPhase::NotRun;
     return write(C, C.Own_, C.Etag_, Now);
-  case Act::CreateNotRun:
+  case Action::CreateNotRun:
     C.Own_.Phase_ = ClaimPhase::NotRun;
     return write(C, C.Own_, "", Now);
-  case Act::Touch:
+  case Action::Touch:
     return writeText(C, C.FoundText_, C.Etag_, Now);
   }
 }
@@ -225,11 +225,11 @@
 
 void ClaimCore::State::readLater(Claim &C, TimePoint Now) {
   C.Call_ = 0;
-  C.RetryAt_ = Now + Rng_.jitter(Options_.RetryPeriod_, RetrySpread);
+  C.RetryAt_ = Now + Rng_.jitter(Options_.RetryPeriod_, RetryJitter);
 }
 
-// The dispatch is given up here and for good: from now on this claim can only
-// be revoked.
+// Gives up the dispatch permanently: from here on the claim can only be
+// revoked.
 void ClaimCore::State::denyOutage(Claim &C, TimePoint Now) {
   ClaimDenied D;
   D.Request_ = C.Request_->Id_;
@@ -238,8 +238,8 @@
   D.Problem_.Step_ = Step::Table;
   D.Problem_.Cause_ = "table_unavailable";
   D.Problem_.Detail_ = "the key could not be claimed; this request was not run";
-  D.Problem_.RetryAfter_ = Rng_.jitter(Seconds(1), RetrySpread);
-  Out_.push_back(ClaimWord(std::move(D)));
+  D.Problem_.RetryAfter_ = Rng_.jitter(Seconds(1), RetryJitter);
+  Out_.push_back(ClaimVerdict(std::move(D)));
   if (C.phase() != Phase::Revoking)
     return;
   C.GiveUpAt_ = Now + Options_.GiveUpAfter_;
@@ -255,21 +255,21 @@
   }
 }
 
-Event ClaimCore::State::classify(Claim &C, const ClaimAnswer &A,
+Event ClaimCore::State::classify(Claim &C, const ClaimCallResult &A,
                                  TimePoint Now) const {
   switch (A.Kind_) {
-  case ClaimAnswer::Kind::Written:
+  case ClaimCallResult::Kind::Written:
     C.Etag_ = A.Etag_;
     return Event::Written;
-  case ClaimAnswer::Kind::Conflict:
+  case ClaimCallResult::Kind::Conflict:
     return Event::Conflict;
-  case ClaimAnswer::Kind::Missing:
+  case ClaimCallResult::Kind::Missing:
     return Event::Missing;
-  case ClaimAnswer::Kind::Unanswered:
+  case ClaimCallResult::Kind::Unanswered:
     return Event::Unanswered;
-  case ClaimAnswer::Kind::Unsent:
+  case ClaimCallResult::Kind::Unsent:
     return Event::Unsent;
-  case ClaimAnswer::Kind::Found:
+  case ClaimCallResult::Kind::Found:
     break;
   }
   C.Etag_ = A.Etag_;
@@ -285,13 +285,13 @@
   return Free ? Event::FoundFree : Event::FoundTaken;
 }
 
-void ClaimCore::State::noteHealth(ClaimAnswer::Kind Kind) {
-  bool Failed = Kind == ClaimAnswer::Kind::Unanswered ||
-                Kind == ClaimAnswer::Kind::Unsent;
-  FailuresInARow_ = Failed ? FailuresInARow_ + 1 : 0;
+void ClaimCore::State::updateOutage(ClaimCallResult::Kind Kind) {
+  bool Failed = Kind == ClaimCallResult::Kind::Unanswered ||
+                Kind == ClaimCallResult::Kind::Unsent;
+  ConsecutiveFailures_ = Failed ? ConsecutiveFailures_ + 1 : 0;
 }
 
-ClaimCore::Actions ClaimCore::State::take() {
+ClaimCore::Actions ClaimCore::State::takeActions() {
   for (RequestId Id : Done_)
     Claims_.erase(Id);
   Done_.clear();
@@ -304,8 +304,8 @@
 ClaimCore::~ClaimCore() = default;
 
 void ClaimCore::setWallClock(std::int64_t EpochMs, TimePoint Now) {
-  State_->WallMs_ = EpochMs;
-  State_->WallAt_ = Now;
+  State_->WallClockMs_ = EpochMs;
+  State_->WallClockAt_ = Now;
 }
 
 ClaimCore::Actions ClaimCore::start(SharedRequest R, TimePoint Now) {
@@ -316,27 +316,29 @@
   C.State_ = S.Chart_.initial();
   C.StartedAt_ = Now;
   C.Own_ = S.ownRecord(*C.Request_, Now);
-  bool Outage = S.FailuresInARow_ >= S.Options_.OutageAfter_;
+  bool Outage = S.ConsecutiveFailures_ >= S.Options_.OutageAfter_;
   if (Outage && Now - S.LastProbe_ < S.Options_.ProbePeriod_) {
     S.fire(C, Event::Unsent, Now);
-    return S.take();
+    return S.takeActions();
   }
   S.LastProbe_ = Now;
-  S.perform(C, Act::Create, Now);
-  return S.take();
+  S.perform(C, Action::Create, Now);
+  return S.takeActions();
 }
 
-ClaimCore::Actions ClaimCore::tableAnswer(const ClaimAnswer &A, TimePoint Now) {
+ClaimCore::Actions ClaimCore::tableCallEnded(const ClaimCallResult &A,
+                                             TimePoint Now) {
   State &S = *State_;
-  S.noteHealth(A.Kind_);
+  S.updateOutage(A.Kind_);
   auto Found = S.Claims_.find(A.Request_);
-  // Also the answer of a call that was given up: its claim is being revoked.
+  // Also drops the result of a call that is no longer awaited: its claim is
+  // being revoked.
   if (Found == S.Claims_.end() || Found->second.Call_ != A.Call_)
     return {};
   Claim &C = Found->second;
   C.Call_ = 0;
   S.fire(C, S.classify(C, A, Now), Now);
-  return S.take();
+  return S.takeActions();
 }
 
 ClaimCore::Actions ClaimCore::settle(const SettleClaim &Settled,
@@ -354,7 +356,7 @@
                                                         : ClaimPhase::Unknown;
   C.GiveUpAt_ = Now + S.Options_.GiveUpAfter_;
   S.fire(C, Event::Settle, Now);
-  return S.take();
+  return S.takeActions();
 }
 
 ClaimCore::Actions ClaimCore::tick(TimePoint Now) {
@@ -372,7 +374,7 @@
       S.fire(C, Event::Timeout, Now);
     }
   }
-  return S.take();
+  return S.takeActions();
 }
 
 std::size_t ClaimCore::open() const { return State_->Claims_.size(); }
--- a/hawthornroad/routing/ClaimCore.h
+++ b/hawthornroad/routing/ClaimCore.h
@@ -3,38 +3,38 @@
 //
 //   ClaimCore Core(Options, loadClaimChart("charts"), Random(Seed));
 //   auto Actions = Core.start(Request, Now);      // ClaimWrite
-//   Actions = Core.tableAnswer(Answer, Now);      // ClaimWon, or read back ...
-//   Actions = Core.settle(SettleClaim{...}, Now); // ClaimWrite of the outcome
-//   Actions = Core.tick(Now);
+//   Actions = Core.tableCallEnded(Result, Now);   // ClaimWon, or a ClaimRead
+//   ... Actions = Core.settle(SettleClaim{...}, Now); // ClaimWrite of the
+//   outcome Actions = Core.tick(Now);
 //
-// The idea: one write before the dispatch. A record that exists means "may have
-// been dispatched"; whoever creates it by conditional write, and only they, may
-// dispatch. The second write, after the run, keeps the answer for repeats of
-// the key. The other way, claimed first and then dispatched by compare-and-set,
-// costs one more write a call and still leaves the gap between its second write
-// and the dispatch; docs/design/claims.md weighs them.
+// Design: one write before the dispatch. An existing record means "may have
+// been dispatched". Only the request that creates it, by a conditional write,
+// may dispatch. The second write, after the run, stores the answer for repeats
+// of the key. The alternative, to claim first and then mark the dispatch by
+// compare-and-set, costs one more write per call and still leaves a gap between
+// its second write and the dispatch; docs/design/claims.md compares the two.
 //
-// Why a paused holder can do no harm. A record passes to another holder only if
-// its holder wrote "not-run", which it does only after it has given up the
-// dispatch for good, or after ExpiresMs_, a day or more. A holder that was
-// frozen between its write and the answer to it may wake up after that. So the
-// answer counts only within FreshFor of the moment the call was made; later the
-// record is written again under compare-and-set first, which fails when anybody
-// has touched it. What remains is a freeze longer than the keeping time between
-// that check and the socket, and it would need the caller to repeat its key a
-// day later.
+// Paused holders. A record passes to another holder only if its holder wrote
+// "not-run", which it does only after it has given up the dispatch permanently,
+// or after ExpiresMs_, a day or more. A holder that was frozen between its
+// write and the table's reply may resume after that. So the reply counts only
+// within FreshFor of the time the call was made. Later than that, the record is
+// first written again by compare-and-set, which fails if anyone has changed it.
+// The remaining risk is a freeze longer than the retention period between that
+// check and the socket write, together with a caller that repeats its key a day
+// later.
 //
-// A lost answer to the write is resolved by reading back: our token in the
-// record means it took effect. With the table out the call is refused at once
-// as not run, and the claim, should it have landed or land yet, is revoked
-// later: our own record is set to not-run; an absent one is created as not-run,
-// so that a write still under way fails its condition; a free one is rewritten
-// to change its ETag for the same reason. After OutageAfter calls in a row
-// without an answer new claims are refused without a call, but for one in
-// ProbePeriod.
+// Lost replies. A write whose reply was lost is resolved by reading the record
+// back: our token in it means that the write took effect. If the table is
+// unavailable, the call is refused at once as not run, and the claim, which may
+// have been written or may still be, is revoked later. Our own record is set to
+// not-run. An absent record is created as not-run, so that the condition of a
+// delayed write fails. A free record is rewritten to change its ETag, for the
+// same reason. After OutageAfter calls in a row without a reply, new claims are
+// refused without a call to the table, except for one per ProbePeriod.
 //
-// Bounds: MaxRevoking claims to be revoked; the oldest beyond are dropped, at
-// the price that a repeat of such a key is told "unknown".
+// Limits: at most MaxRevoking claims to revoke. Beyond that the oldest are
+// dropped; a repeat of such a key is answered "unknown".
 // No I/O, no clock, no threads.
 
 #ifndef HAWTHORNROAD_ROUTING_CLAIMCORE_H
@@ -51,7 +51,7 @@
 
 namespace hawthornroad {
 
-// A conditional write. Empty Etag_ means: only if the key is absent.
+// A conditional write. An empty Etag_ requires that the key is absent.
 struct ClaimWrite {
   RequestId Request_;
   std::uint64_t Call_ = 0;
@@ -64,16 +64,16 @@
   std::uint64_t Call_ = 0;
   std::string Key_;
 };
-using ClaimAction = std::variant<ClaimWrite, ClaimRead, ClaimWord>;
+using ClaimAction = std::variant<ClaimWrite, ClaimRead, ClaimVerdict>;
 
-// How a call to the table ended.
-struct ClaimAnswer {
+// The result of a call to the table.
+struct ClaimCallResult {
   enum class Kind {
     Written,
     Conflict,   // the condition did not hold
-    Found,      // a read's value
-    Missing,    // a read found nothing
-    Unanswered, // it may have taken effect
+    Found,      // a read returned a record
+    Missing,    // a read found no record
+    Unanswered, // no reply; the call may have taken effect
     Unsent      // no byte reached the table
   };
   RequestId Request_;
@@ -89,11 +89,12 @@
 class ClaimCore {
 public:
   struct Options {
-    // Of this process: part of the token.
+    // Name and incarnation of this process; the incarnation is part of the
+    // token.
     std::string Holder_;
     Incarnation Incarnation_ = 0;
     Duration Keep_ = Seconds(86400);
-    // Longest time from start() to the answer.
+    // Maximum time from start() to the verdict.
     Duration Timeout_ = Seconds(2);
     Duration FreshFor_ = Seconds(5);
     Duration ClockSlack_ = Seconds(2);
@@ -111,18 +112,18 @@
   ClaimCore(const ClaimCore &) = delete;
   ClaimCore &operator=(const ClaimCore &) = delete;
 
-  // Milliseconds since the epoch at Now; told before the first call and again
-  // on ticks.
+  // The time at Now in milliseconds since the epoch; set before the first call
+  // and again on ticks.
   void setWallClock(std::int64_t EpochMs, TimePoint Now);
 
   Actions start(SharedRequest R, TimePoint Now);
-  Actions tableAnswer(const ClaimAnswer &A, TimePoint Now);
+  Actions tableCallEnded(const ClaimCallResult &A, TimePoint Now);
   Actions settle(const SettleClaim &S, TimePoint Now);
   Actions tick(TimePoint Now);
 
-  // Claims whose last write is not done, revoked ones included.
+  // Claims whose last write has not completed, including revocations.
   std::size_t open() const;
-  // Revocations given up or dropped.
+  // Number of revocations given up or dropped.
   std::uint64_t dropped() const;
 
 private:
--- a/hawthornroad/routing/Claims.cpp
+++ b/hawthornroad/routing/Claims.cpp
@@ -19,7 +19,7 @@
 constexpr unsigned StatusGone = 410;
 constexpr unsigned StatusUnprocessable = 422;
 constexpr unsigned StatusBadGateway = 502;
-constexpr Duration AskAgainInProgress = Seconds(1);
+constexpr Duration InProgressRetryAfter = Seconds(1);
 
 json::object toJson(const KeptAnswer &A) {
   json::object Out;
@@ -58,15 +58,15 @@
   throw std::invalid_argument("unknown phase");
 }
 
-// Answers are bytes; Boost.JSON would refuse those that are not UTF-8.
-json::parse_options anyBytes() {
+// Answers are arbitrary bytes; by default Boost.JSON rejects invalid UTF-8.
+json::parse_options allowInvalidUtf8() {
   json::parse_options Options;
   Options.allow_invalid_utf8 = true;
   return Options;
 }
 
-ClaimDenied denied(const CallerRequest &R, unsigned Status, Outcome O,
-                   std::string Cause, std::string Detail) {
+ClaimDenied makeDenial(const CallerRequest &R, unsigned Status, Outcome O,
+                       std::string Cause, std::string Detail) {
   ClaimDenied D;
   D.Request_ = R.Id_;
   D.Problem_.Status_ = Status;
@@ -94,7 +94,7 @@
 std::optional<ClaimRecord> parseClaim(std::string_view Text) {
   try {
     json::value Parsed = json::parse(
-        json::string_view(Text.data(), Text.size()), {}, anyBytes());
+        json::string_view(Text.data(), Text.size()), {}, allowInvalidUtf8());
     const json::object &O = Parsed.as_object();
     ClaimRecord R;
     R.Phase_ = phaseFrom(textAt(O, "phase"));
@@ -120,26 +120,27 @@
   return sha256(R.Method_ + "\n" + R.Target_ + "\n" + R.Body_);
 }
 
-ClaimWord claimVerdict(const CallerRequest &R, const ClaimRecord &Record,
-                       std::int64_t NowMs, Duration ClockSlack) {
+ClaimVerdict claimVerdict(const CallerRequest &R, const ClaimRecord &Record,
+                          std::int64_t NowMs, Duration ClockSlack) {
   if (Record.Call_ != callHash(R))
-    return denied(R, StatusUnprocessable, Outcome::NotRun, "key_reused",
-                  "the idempotency key belongs to another call");
+    return makeDenial(R, StatusUnprocessable, Outcome::NotRun, "key_reused",
+                      "the idempotency key belongs to another call");
   if (Record.Phase_ == ClaimPhase::Answered && Record.Answer_) {
     if (Record.Answer_->HasBody_)
       return ClaimReplay{R.Id_, *Record.Answer_};
-    return denied(R, StatusGone, Outcome::Answered, "answer_not_kept",
-                  "the call was answered; its answer was too large to keep");
+    return makeDenial(
+        R, StatusGone, Outcome::Answered, "answer_not_kept",
+        "the call was answered; its answer was too large to keep");
   }
   auto Slack = std::chrono::duration_cast<Milliseconds>(ClockSlack).count();
   bool InProgress = Record.Phase_ == ClaimPhase::Dispatched &&
                     NowMs <= Record.DeadlineMs_ + Slack;
   if (!InProgress)
-    return denied(R, StatusBadGateway, Outcome::Unknown, "outcome_unknown",
-                  "the call may have run; its answer is not known");
-  ClaimDenied D = denied(R, StatusConflict, Outcome::Unknown, "in_progress",
-                         "the call with this key is in progress");
-  D.Problem_.RetryAfter_ = AskAgainInProgress;
+    return makeDenial(R, StatusBadGateway, Outcome::Unknown, "outcome_unknown",
+                      "the call may have run; its answer is not known");
+  ClaimDenied D = makeDenial(R, StatusConflict, Outcome::Unknown, "in_progress",
+                             "the call with this key is in progress");
+  D.Problem_.RetryAfter_ = InProgressRetryAfter;
   return D;
 }
 
--- a/hawthornroad/routing/DrainState.cpp
+++ b/hawthornroad/routing/DrainState.cpp
@@ -21,17 +21,17 @@
 DrainActions DrainState::stop(TimePoint Now) { return fire(Stop, Now); }
 
 DrainActions DrainState::tick(const Work &W, TimePoint Now) {
-  Duration Stayed = Now - Since_;
+  Duration Elapsed = Now - Since_;
   if (State_ == Draining) {
     if (W.Running_ == 0)
       return fire(Idle, Now);
-    if (Stayed >= Limits_.Limit_)
+    if (Elapsed >= Limits_.Limit_)
       return fire(Limit, Now);
   }
   if (State_ == Lingering) {
-    if (Stayed >= Limits_.Linger_)
+    if (Elapsed >= Limits_.Linger_)
       return fire(Limit, Now);
-    if (W.Unacknowledged_ == 0 && Stayed >= Limits_.MinLinger_)
+    if (W.Unacknowledged_ == 0 && Elapsed >= Limits_.MinLinger_)
       return fire(Acknowledged, Now);
   }
   return {};
--- a/hawthornroad/routing/DrainState.h
+++ b/hawthornroad/routing/DrainState.h
@@ -1,15 +1,16 @@
-// How an agent leaves of its own will: charts/drain.json.
+// The planned shutdown of an agent; follows charts/drain.json.
 //
 //   DrainState Drain(drainChart("charts"), {.Limit_ = Seconds(600)});
 //   DrainActions A = Drain.stop(Now);           // {Publish}
 //   A = Drain.tick({.Running_ = 3, .Unacknowledged_ = 1}, Now);
 //   if (Drain.hasLeft()) ...                    // after {Leave}
 //
-// serving: takes work. draining: refuses new work, runs what it has. lingering:
-// nothing runs; finished answers stay until their entries have them. left: may
-// exit. A stop that comes twice changes nothing. Each stage is bounded: by
-// Limit_ for running attempts, after which they are given up, and by Linger_
-// for answers nobody fetches.
+// States: serving accepts work. draining refuses new work and finishes running
+// attempts. lingering has no running attempts and keeps finished answers until
+// the entries have fetched them. left means that the process may exit. A second
+// stop has no effect. Each state is bounded: draining by Limit_, after which
+// running attempts are given up, and lingering by Linger_, after which
+// unfetched answers are dropped.
 
 #ifndef HAWTHORNROAD_ROUTING_DRAINSTATE_H
 #define HAWTHORNROAD_ROUTING_DRAINSTATE_H
@@ -24,24 +25,26 @@
 // Loads charts/drain.json. Throws Error(Step::Chart).
 Chart drainChart(const std::string &Directory);
 
-// Publish: tell the entries that the endpoint takes no work.
-// GiveUpAttempts: end what still runs. Leave: tell the peers good-bye.
+// Publish: tell the entries that the endpoint accepts no work.
+// GiveUpAttempts: end the attempts that still run. Leave: tell the peers that
+// the process leaves.
 enum class DrainAction : std::size_t { Publish, GiveUpAttempts, Leave };
 using DrainActions = std::vector<DrainAction>;
 
 class DrainState {
 public:
   struct Limits {
-    // Longest wait for running attempts.
+    // Maximum wait for running attempts.
     Duration Limit_ = Seconds(600);
-    // Longest and shortest stay after the last attempt ended. The shortest
-    // lets the last frames reach their sockets and a lost one be asked after.
+    // Maximum and minimum time to stay after the last attempt ended. The
+    // minimum lets the last frames reach their sockets and lets entries query a
+    // lost one.
     Duration Linger_ = Seconds(5);
     Duration MinLinger_ = Milliseconds(300);
   };
   struct Work {
     std::size_t Running_ = 0;
-    // Finished answers not wholly acknowledged.
+    // Finished answers that have not been acknowledged in full.
     std::size_t Unacknowledged_ = 0;
   };
 
@@ -61,7 +64,7 @@
   Chart Chart_;
   Limits Limits_;
   std::size_t State_;
-  // When the present state was entered.
+  // When the current state was entered.
   TimePoint Since_;
 };
 
--- a/hawthornroad/routing/PastAttempts.cpp
+++ b/hawthornroad/routing/PastAttempts.cpp
@@ -29,31 +29,31 @@
   add(Attempt, {std::nullopt}, Now);
 }
 
-void PastAttempts::add(const AttemptId &Attempt, Fate F, TimePoint Now) {
-  if (!Fates_.emplace(Attempt, F).second)
+void PastAttempts::add(const AttemptId &Attempt, FinalState F, TimePoint Now) {
+  if (!FinalStates_.emplace(Attempt, F).second)
     return;
   Order_.push_back({Attempt, Now + Keep_});
-  if (Fates_.size() <= Max_)
+  if (FinalStates_.size() <= Max_)
     return;
-  forgetOldest();
-  ++ForgottenEarly_;
+  evictOldest();
+  ++EvictedEarly_;
 }
 
-std::optional<PastAttempts::Fate>
+std::optional<PastAttempts::FinalState>
 PastAttempts::find(const AttemptId &Attempt) const {
-  auto Found = Fates_.find(Attempt);
-  if (Found == Fates_.end())
+  auto Found = FinalStates_.find(Attempt);
+  if (Found == FinalStates_.end())
     return std::nullopt;
   return Found->second;
 }
 
 void PastAttempts::expire(TimePoint Now) {
   while (!Order_.empty() && Order_.front().Until_ <= Now)
-    forgetOldest();
+    evictOldest();
 }
 
-void PastAttempts::forgetOldest() {
-  Fates_.erase(Order_.front().Attempt_);
+void PastAttempts::evictOldest() {
+  FinalStates_.erase(Order_.front().Attempt_);
   Order_.pop_front();
 }
 
--- a/hawthornroad/routing/RequestChart.h
+++ b/hawthornroad/routing/RequestChart.h
@@ -1,11 +1,11 @@
-// Binds charts/request.json to the code: the names of its states, events,
-// guards and actions, by position.
+// Binds charts/request.json to the code: enumerators match the names of its
+// states, events, guards and actions by position.
 //
-// The life of one request: arrived -> (waiting for a place) -> (claiming its
-// idempotency key) -> running <-> asking (the connection was lost or went
-// silent: the agent is asked over another one) -> done. A claimed request whose
-// caller has been answered or has left lingers until the attempt's end is
-// known, so that a repeat of its key can be told what became of it.
+// The states of a request: arrived -> (waiting for a slot) -> (claiming its
+// idempotency key) -> running <-> asking (the connection was lost or silent, so
+// the agent is queried over another one) -> done. A claimed request whose
+// caller has been answered or has left lingers until the attempt ends, so that
+// the outcome can be reported to a repeat of its key.
 
 #ifndef HAWTHORNROAD_ROUTING_REQUESTCHART_H
 #define HAWTHORNROAD_ROUTING_REQUESTCHART_H
@@ -30,26 +30,26 @@
   Queued,
   Refused,
   ClaimWon,
-  ClaimEnded,  // denied, or answered from the claim
-  Whole,       // the answer is whole
-  Failed,      // the attempt is over without a whole answer
-  Lost,        // its connection is gone
-  Silent,      // no word of the attempt for its idle limit
-  Heard,       // word of the attempt
-  Unreachable, // no connection could be made to ask
+  ClaimEnded,  // denied, or answered from the claim record
+  Whole,       // the answer is complete
+  Failed,      // the attempt ended without a complete answer
+  Lost,        // the connection of the attempt was lost
+  Silent,      // no update on the attempt within the idle limit
+  Heard,       // an update on the attempt arrived
+  Unreachable, // no connection could be opened for a query
   CallerGone,
   Deadline,
-  GivenUp,   // lingered long enough
-  TurnedAway // the agent refused the attempt, which did not run
+  GivenUp,   // the linger time has passed
+  TurnedAway // the agent refused the attempt; it did not run
 };
 
 enum class RequestGuard {
   NeedsClaim,
-  IsWorthwhile, // the caller is there and the deadline has not passed
-  CanRetry,     // another attempt is allowed and there is an endpoint for it
-  CanLeave,     // as CanRetry, though the attempt may still be running
-  MustSettle,   // a claim waits to be told the outcome
-  CanWait       // turned away for want of a place: waits for one in the queue
+  IsWorthwhile, // the caller is connected, the deadline not passed
+  CanRetry,     // another attempt is allowed and has an endpoint
+  CanLeave,     // CanRetry, while the attempt may still be running
+  MustSettle,   // the request holds a claim that needs its outcome
+  CanWait       // refused by a full endpoint; may go back to the queue
 };
 
 enum class RequestStep {
@@ -58,7 +58,7 @@
   Ask,
   CancelAttempt,
   Finish,
-  Answer, // a problem, or the answer kept with the claim
+  Answer, // a problem, or the answer stored with the claim
   SettleClaim
 };
 
--- a/hawthornroad/routing/RequestCore.cpp
+++ b/hawthornroad/routing/RequestCore.cpp
@@ -8,7 +8,7 @@
 namespace hawthornroad {
 
 namespace {
-constexpr unsigned MaxAskDoublings = 3;
+constexpr unsigned MaxQueryDoublings = 3;
 } // namespace
 
 std::string_view toString(Outcome O) {
@@ -40,7 +40,7 @@
   return P;
 }
 
-// ---- The chart ------------------------------------------------------------
+// ---- State chart ----------------------------------------------------------
 
 void RequestCore::State::fire(Record &R, Event E, TimePoint Now) {
   if (Chart_.isFinal(R.State_))
@@ -70,7 +70,7 @@
     return canRetry(R, Now);
   case RequestGuard::CanLeave:
     return R.Call_->Repeatable_ && R.Attempt_ &&
-           R.Attempt_->Asks_ >= AsksBeforeLeaving && canRetry(R, Now);
+           R.Attempt_->Queries_ >= QueriesBeforeFailover && canRetry(R, Now);
   case RequestGuard::MustSettle:
     return R.Call_->needsClaim();
   case RequestGuard::CanWait:
@@ -87,7 +87,7 @@
   case RequestStep::Dispatch:
     return dispatch(R, Now);
   case RequestStep::Ask:
-    return ask(R, Now);
+    return queryAttempt(R, Now);
   case RequestStep::CancelAttempt:
     return cancelAttempt(R, Now);
   case RequestStep::Finish:
@@ -99,8 +99,8 @@
   }
 }
 
-// The request is over: its place is given back and its story told once. The
-// record itself is erased by the public entry points, when nobody holds it.
+// Ends the request: releases its slot and reports it once. The public entry
+// points erase the record itself, when no reference to it is left.
 void RequestCore::State::retire(Record &R, TimePoint Now) {
   if (R.Attempt_)
     endAttempt(R, Chooser::Result::Cancelled, true, Now);
@@ -119,7 +119,7 @@
   Done.Queued_ = R.DispatchedAt_.value_or(Now) - R.Call_->ArrivedAt_;
   if (R.FirstByteAt_)
     Done.FirstByte_ = *R.FirstByteAt_ - R.Call_->ArrivedAt_;
-  Done.Whole_ = Now - R.Call_->ArrivedAt_;
+  Done.Total_ = Now - R.Call_->ArrivedAt_;
   Out_.push_back(std::move(Done));
   Retired_.push_back(R.Call_->Id_);
   Freed_.insert(R.Call_->Service_);
@@ -157,7 +157,7 @@
   fire(*R, Event::Refused, Now);
 }
 
-void RequestCore::State::pump(const ServiceName &Name, TimePoint Now) {
+void RequestCore::State::dispatchQueue(const ServiceName &Name, TimePoint Now) {
   if (Admission_.waiting(Name) == 0)
     return;
   Chooser::Query Q;
@@ -171,24 +171,25 @@
     if (!Next)
       return;
     if (Record *R = find(*Next))
-      fire(*R, mayTakePlace(*R, Now) ? Event::Admitted : Event::Refused, Now);
+      fire(*R, mayDispatch(*R, Now) ? Event::Admitted : Event::Refused, Now);
   }
 }
 
-// ---- Time -----------------------------------------------------------------
+// ---- Timers ---------------------------------------------------------------
 
 void RequestCore::State::checkSilence(Record &R, TimePoint Now) {
   if (!R.Attempt_)
     return;
   AttemptRecord &A = *R.Attempt_;
-  if (A.Asks_ == 0) {
-    if (Now - std::max(A.HeardAt_, A.AskedAt_) >= Options_.AttemptIdle_)
+  if (A.Queries_ == 0) {
+    if (Now - std::max(A.LastProgressAt_, A.QueriedAt_) >=
+        Options_.AttemptIdle_)
       fire(R, Event::Silent, Now);
     return;
   }
-  unsigned Doublings = std::min(A.Asks_ - 1, MaxAskDoublings);
+  unsigned Doublings = std::min(A.Queries_ - 1, MaxQueryDoublings);
   Duration Wait = Options_.AttemptIdle_ / 2 * (1u << Doublings);
-  if (Now - A.AskedAt_ >= Wait)
+  if (Now - A.QueriedAt_ >= Wait)
     fire(R, Event::Silent, Now);
 }
 
@@ -196,8 +197,8 @@
   RequestState S = R.state();
   if (S == RequestState::Lingering && Now >= R.LingerUntil_)
     return fire(R, Event::GivenUp, Now);
-  bool Late = Now >= R.Call_->Deadline_ && S != RequestState::Waiting;
-  if (Late && !R.Answered_) {
+  bool IsPastDeadline = Now >= R.Call_->Deadline_ && S != RequestState::Waiting;
+  if (IsPastDeadline && !R.Answered_) {
     R.Problem_ = problem(status::GatewayTimeout, Step::Answer, R, "deadline",
                          "no whole answer within the deadline");
     fire(R, Event::Deadline, Now);
@@ -206,11 +207,11 @@
   checkSilence(R, Now);
 }
 
-RequestCore::Actions RequestCore::State::take(TimePoint Now) {
+RequestCore::Actions RequestCore::State::takeActions(TimePoint Now) {
   while (!Freed_.empty()) {
     ServiceName Name = *Freed_.begin();
     Freed_.erase(Freed_.begin());
-    pump(Name, Now);
+    dispatchQueue(Name, Now);
   }
   for (RequestId Id : Retired_)
     Requests_.erase(Id);
@@ -228,7 +229,7 @@
       Visit(R);
 }
 
-// ---- Public ---------------------------------------------------------------
+// ---- Public interface -----------------------------------------------------
 
 RequestCore::RequestCore(Options O, Chart C, Random Rng, Admission &A,
                          Chooser &Ch, RetryBudget &B)
@@ -264,11 +265,12 @@
                             : RefusalCause::ProcessBusy,
                 S.Admission_.retryAfter(Call->Service_, Now), ""};
     S.refuse(Out, Now);
-    return S.take(Now);
+    return S.takeActions(Now);
   }
-  Admission::Request Ask{Call->Id_, Call->Customer_, Call->Service_,
-                         Call->Priority_, Call->Deadline_};
-  Admission::Answer Answer = S.Admission_.offer(Ask, S.load(*Call, Now), Now);
+  Admission::Request Offered{Call->Id_, Call->Customer_, Call->Service_,
+                             Call->Priority_, Call->Deadline_};
+  Admission::Answer Answer =
+      S.Admission_.offer(Offered, S.load(*Call, Now), Now);
   if (Answer.Evicted_)
     S.refuse(*Answer.Evicted_, Now);
   if (Answer.Kind_ == Admission::Verdict::Admit)
@@ -279,7 +281,7 @@
     Answer.Refusal_.Request_ = Call->Id_;
     S.refuse(Answer.Refusal_, Now);
   }
-  return S.take(Now);
+  return S.takeActions(Now);
 }
 
 RequestCore::Actions RequestCore::callerGone(RequestId Id, TimePoint Now) {
@@ -287,11 +289,11 @@
     R->CallerGone_ = true;
     State_->fire(*R, RequestEvent::CallerGone, Now);
   }
-  return State_->take(Now);
+  return State_->takeActions(Now);
 }
 
-RequestCore::Actions RequestCore::claimWord(const ClaimWord &Word,
-                                            TimePoint Now) {
+RequestCore::Actions RequestCore::claimDecided(const ClaimVerdict &Word,
+                                               TimePoint Now) {
   RequestId Id = std::visit([](const auto &W) { return W.Request_; }, Word);
   RequestRecord *R = State_->find(Id);
   if (R == nullptr)
@@ -300,7 +302,7 @@
     R->Problem_ = State_->problem(status::GatewayTimeout, Step::Claim, *R,
                                   "deadline", "the deadline has passed");
     State_->fire(*R, RequestEvent::ClaimWon, Now);
-    return State_->take(Now);
+    return State_->takeActions(Now);
   }
   if (const auto *Replay = std::get_if<ClaimReplay>(&Word)) {
     R->Kept_ = Replay->Answer_;
@@ -308,14 +310,14 @@
     R->IsWhole_ = true;
   } else {
     R->Problem_ = std::get<ClaimDenied>(Word).Problem_;
-    R->Said_ = R->Problem_.Outcome_;
+    R->ClaimOutcome_ = R->Problem_.Outcome_;
   }
   State_->fire(*R, RequestEvent::ClaimEnded, Now);
-  return State_->take(Now);
+  return State_->takeActions(Now);
 }
 
-RequestCore::Actions RequestCore::attemptWord(const AttemptWord &Word,
-                                              TimePoint Now) {
+RequestCore::Actions RequestCore::attemptUpdated(const AttemptUpdate &Word,
+                                                 TimePoint Now) {
   AttemptId Id =
       std::visit([](const auto &W) { return W.From_.Attempt_; }, Word);
   bool IsLate = State_->ByAttempt_.count(Id) == 0;
@@ -324,8 +326,8 @@
                    std::holds_alternative<AttemptData>(Word);
   if (IsLate && IsRunning)
     return {CancelAttempt{Id, {}}};
-  std::visit([&](const auto &W) { State_->onWord(W, Now); }, Word);
-  return State_->take(Now);
+  std::visit([&](const auto &W) { State_->onUpdate(W, Now); }, Word);
+  return State_->takeActions(Now);
 }
 
 RequestCore::Actions RequestCore::connectionLost(const ConnectionLost &Lost,
@@ -335,7 +337,7 @@
         R.Attempt_->Number_ <= Lost.BegunUpTo_)
       State_->onLost(R, Lost, Now);
   });
-  return State_->take(Now);
+  return State_->takeActions(Now);
 }
 
 RequestCore::Actions RequestCore::notSent(AttemptId Id, TimePoint Now) {
@@ -347,7 +349,7 @@
                State_->problem(status::Unavailable, Step::Dispatch, R,
                                "process_busy", "this entry is overloaded"),
                false, Now);
-  return State_->take(Now);
+  return State_->takeActions(Now);
 }
 
 RequestCore::Actions RequestCore::endpointGone(const Vm &V, Incarnation I,
@@ -360,13 +362,13 @@
                                  "endpoint_gone", "the endpoint's VM is gone"),
                  true, Now);
   });
-  return State_->take(Now);
+  return State_->takeActions(Now);
 }
 
 RequestCore::Actions RequestCore::endpointChanged(const ServiceName &Service,
                                                   TimePoint Now) {
-  State_->pump(Service, Now);
-  return State_->take(Now);
+  State_->dispatchQueue(Service, Now);
+  return State_->takeActions(Now);
 }
 
 RequestCore::Actions RequestCore::callerBacklog(RequestId Id, std::size_t Bytes,
@@ -377,7 +379,7 @@
   R->CallerBacklog_ = Bytes;
   if (R->Attempt_)
     State_->ack(*R, false);
-  return State_->take(Now);
+  return State_->takeActions(Now);
 }
 
 std::vector<RequestId> RequestCore::heldBack() const {
@@ -402,7 +404,7 @@
   if (State_->Declaration_)
     for (const auto &[Name, S] : State_->Declaration_->services())
       State_->Freed_.insert(Name);
-  return State_->take(Now);
+  return State_->takeActions(Now);
 }
 
 std::size_t RequestCore::inProgress() const {
--- a/hawthornroad/routing/RequestCoreState.h
+++ b/hawthornroad/routing/RequestCoreState.h
@@ -1,6 +1,6 @@
-// The inside of RequestCore, shared by its three files: RequestCore.cpp (chart,
-// admission, time, events), RequestDispatch.cpp (what the chart asks for) and
-// RequestWords.cpp (word of attempts). Nobody else includes it.
+// The implementation state of RequestCore. Shared by RequestCore.cpp (chart,
+// admission, timers, events), RequestDispatch.cpp (actions of the chart) and
+// RequestUpdates.cpp (updates on attempts); not for use by other files.
 
 #ifndef HAWTHORNROAD_ROUTING_REQUESTCORESTATE_H
 #define HAWTHORNROAD_ROUTING_REQUESTCORESTATE_H
@@ -13,11 +13,11 @@
 
 namespace hawthornroad {
 
-// An ordinary question, then one over a fresh connection, before a request
-// that may be repeated goes elsewhere.
-constexpr unsigned AsksBeforeLeaving = 2;
+// A repeatable request fails over to another endpoint after one query over
+// the current connection and one over a new connection went unanswered.
+constexpr unsigned QueriesBeforeFailover = 2;
 
-// Status codes of RFC 9110 that the request path gives of its own.
+// RFC 9110 status codes that the request path generates itself.
 namespace status {
 constexpr unsigned BadGateway = 502;
 constexpr unsigned Unavailable = 503;
@@ -34,15 +34,15 @@
       : Options_(O), Chart_(std::move(C)), Rng_(Rng), Admission_(A),
         Chooser_(Ch), Budget_(B) {}
 
-  // The chart.
+  // State chart.
   void fire(Record &R, Event E, TimePoint Now);
   bool guard(Record &R, RequestGuard G, TimePoint Now);
   void perform(Record &R, RequestStep S, TimePoint Now);
   void retire(Record &R, TimePoint Now);
 
-  // Its actions.
+  // Actions of the chart.
   void dispatch(Record &R, TimePoint Now);
-  void ask(Record &R, TimePoint Now);
+  void queryAttempt(Record &R, TimePoint Now);
   void cancelAttempt(Record &R, TimePoint Now);
   void finish(Record &R);
   void answer(Record &R);
@@ -52,28 +52,28 @@
   Chooser::Query query(const Record &R) const;
   bool canRetry(Record &R, TimePoint Now);
   bool canWait(Record &R, TimePoint Now);
-  bool mayTakePlace(Record &R, TimePoint Now);
+  bool mayDispatch(Record &R, TimePoint Now);
   void endAttempt(Record &R, Chooser::Result Result, bool MayHaveRun,
                   TimePoint Now);
   void fail(Record &R, Problem P, bool MayHaveRun, TimePoint Now);
   Record *current(const AttemptSource &From, TimePoint Now);
-  void hear(Record &R, const AttemptSource &From, TimePoint Now);
-  void passOn(Record &R, CallerAnswer::Out Out, TimePoint Now);
+  void noteContact(Record &R, const AttemptSource &From, TimePoint Now);
+  void forward(Record &R, CallerAnswer::Out Out, TimePoint Now);
   void checkEnd(Record &R, TimePoint Now);
   void ack(Record &R, bool Whole);
-  void onWord(const AttemptAccepted &W, TimePoint Now);
-  void onWord(const AttemptRefused &W, TimePoint Now);
-  void onWord(const AttemptHead &W, TimePoint Now);
-  void onWord(const AttemptData &W, TimePoint Now);
-  void onWord(const AttemptEnd &W, TimePoint Now);
-  void onWord(const AttemptFailed &W, TimePoint Now);
-  void onWord(const AttemptState &W, TimePoint Now);
+  void onUpdate(const AttemptAccepted &W, TimePoint Now);
+  void onUpdate(const AttemptRefused &W, TimePoint Now);
+  void onUpdate(const AttemptHead &W, TimePoint Now);
+  void onUpdate(const AttemptData &W, TimePoint Now);
+  void onUpdate(const AttemptEnd &W, TimePoint Now);
+  void onUpdate(const AttemptFailed &W, TimePoint Now);
+  void onUpdate(const AttemptState &W, TimePoint Now);
   void onLost(Record &R, const ConnectionLost &Lost, TimePoint Now);
 
   // Admission.
   Admission::Load load(const CallerRequest &R, TimePoint Now) const;
   void refuse(const Refusal &Out, TimePoint Now);
-  void pump(const ServiceName &Name, TimePoint Now);
+  void dispatchQueue(const ServiceName &Name, TimePoint Now);
 
   void check(Record &R, TimePoint Now);
   void checkSilence(Record &R, TimePoint Now);
@@ -81,8 +81,9 @@
                   std::string Cause, std::string Detail) const;
   template <class Fn> void forEachAttempt(Fn Visit);
   Record *find(RequestId Id);
-  // Ends a public call: hands out freed places, erases what is over.
-  Actions take(TimePoint Now);
+  // Finishes a public call: dispatches queued requests to freed slots, erases
+  // ended requests and returns the actions.
+  Actions takeActions(TimePoint Now);
 
   Options Options_;
   Chart Chart_;
@@ -95,9 +96,9 @@
   std::uint64_t NextNumber_ = 1;
   std::unordered_map<RequestId, Record> Requests_;
   std::unordered_map<AttemptId, RequestId> ByAttempt_;
-  // When a connection to an address was last replaced.
-  std::unordered_map<PeerAddress, TimePoint> Refreshed_;
-  // Over, to be erased; services in which a place may have come free.
+  // When the connection to an address was last replaced.
+  std::unordered_map<PeerAddress, TimePoint> LastReconnect_;
+  // Ended requests to erase; services in which a slot may have become free.
   std::vector<RequestId> Retired_;
   std::set<ServiceName> Freed_;
   Actions Out_;
--- a/hawthornroad/routing/RequestDispatch.cpp
+++ b/hawthornroad/routing/RequestDispatch.cpp
@@ -10,7 +10,7 @@
   Q.Service_ = R.Call_->Service_;
   Q.PrefixHash_ = R.Call_->PrefixHash_;
   Q.Excluded_ = R.Tried_;
-  // A request stays with the version it may have run under.
+  // A request that may have run stays with the version it ran under.
   if (R.EndedAttemptMayHaveRun_ || R.Answer_.hasBegun())
     Q.Version_ = R.Version_;
   const Service *S =
@@ -36,7 +36,7 @@
   R.Version_ = Found->Version_;
   R.LastVm_ = *Target;
   R.Tried_.insert(*Target);
-  R.MayTrySameAgain_ = false;
+  R.MayRetrySameVm_ = false;
   if (R.Attempts_++ == 0)
     Budget_.noteRequest(R.Call_->Service_, Now);
   if (!R.DispatchedAt_)
@@ -47,7 +47,7 @@
   A.Vm_ = *Target;
   A.Address_ = Found->Address_;
   A.Incarnation_ = Found->Incarnation_;
-  A.BegunAt_ = A.HeardAt_ = Now;
+  A.BegunAt_ = A.LastProgressAt_ = Now;
   ByAttempt_[A.Id_] = R.Call_->Id_;
   Chooser_.dispatched(*Target, Now);
   Out_.push_back(BeginAttempt{A.Id_, A.Number_, A.Address_, R.Call_, R.Version_,
@@ -56,26 +56,27 @@
   R.Attempt_ = std::move(A);
 }
 
-// The second question in a row goes over a connection dialled anew: the one in
-// use may be of those that have gone silent for good. Each such dial replaces
-// the connection of every attempt at that address, hence the limit.
-void RequestCore::State::ask(Record &R, TimePoint Now) {
+// The second query in a row uses a new connection, since the current one may
+// be permanently silent. A new connection replaces that of every attempt at the
+// address, so the rate of new connections is limited.
+void RequestCore::State::queryAttempt(Record &R, TimePoint Now) {
   AttemptRecord &A = *R.Attempt_;
-  bool Fresh = A.Asks_ > 0;
-  if (Fresh) {
-    auto [Found, New] = Refreshed_.try_emplace(A.Address_, Now);
-    if (!New && Now - Found->second < Options_.AttemptIdle_)
-      Fresh = false;
+  bool NewConnection = A.Queries_ > 0;
+  if (NewConnection) {
+    auto [Found, Inserted] = LastReconnect_.try_emplace(A.Address_, Now);
+    if (!Inserted && Now - Found->second < Options_.AttemptIdle_)
+      NewConnection = false;
     else
       Found->second = Now;
   }
-  ++A.Asks_;
-  A.AskedAt_ = Now;
-  Out_.push_back(AskAttempt{A.Id_, A.Address_, A.Stream_.offset(), Fresh});
+  ++A.Queries_;
+  A.QueriedAt_ = Now;
+  Out_.push_back(
+      QueryAttempt{A.Id_, A.Address_, A.Stream_.offset(), NewConnection});
 }
 
-// A call that is not repeatable is left to run to its end: cutting it half-way
-// would only make its result harder to know.
+// A call that is not repeatable is left running: cancelling it half-way would
+// only make its outcome harder to determine.
 void RequestCore::State::cancelAttempt(Record &R, TimePoint Now) {
   if (!R.Attempt_)
     return;
@@ -136,34 +137,36 @@
   if (R.Next_)
     return true;
   bool MayRunAgain = R.Call_->Repeatable_ || !R.EndedAttemptMayHaveRun_;
-  bool MayGoOn = !R.Answer_.hasBegun() || R.Answer_.canResume();
-  if (!MayRunAgain || !MayGoOn || R.Answered_ || R.CallerGone_)
+  bool MayResume = !R.Answer_.hasBegun() || R.Answer_.canResume();
+  if (!MayRunAgain || !MayResume || R.Answered_ || R.CallerGone_)
     return false;
   if (Now >= R.Call_->Deadline_ || R.Attempts_ >= Options_.MaxAttempts_)
     return false;
   Chooser::Query Q = query(R);
   R.Next_ = Chooser_.choose(Q, Now);
-  if (!R.Next_ && R.MayTrySameAgain_) {
+  if (!R.Next_ && R.MayRetrySameVm_) {
     Q.Excluded_.clear();
     R.Next_ = Chooser_.choose(Q, Now);
   }
-  // A stream that goes on moves work, it does not repeat it: its place at the
-  // broken endpoint is gone, and its caller holds half an answer.
-  bool GoesOn = R.Answer_.hasBegun();
-  if (R.Next_ && !GoesOn && !Budget_.take(R.Call_->Service_, Now))
+  // Resuming a stream moves work instead of repeating it: its slot at the
+  // failed endpoint is gone, and its caller holds a partial answer. So it does
+  // not count against the retry budget.
+  bool IsResumed = R.Answer_.hasBegun();
+  if (R.Next_ && !IsResumed && !Budget_.take(R.Call_->Service_, Now))
     R.Next_.reset();
   return R.Next_.has_value();
 }
 
-// A request that found its endpoint full goes back to the queue, in its turn:
-// retried outside it, refused requests take the places of those that wait, and
-// in overload the small customers lose theirs (docs/design/routing.md). One
-// that holds a claim does not wait again, since it would claim its key twice.
-// Puts the request back when it says yes.
+// A request refused by a full endpoint returns to its position in the queue.
+// Retried outside the queue, refused requests would take the slots of waiting
+// ones, and under overload small customers would lose theirs
+// (docs/design/routing.md). A request that holds a claim does not wait again,
+// since it would claim its key twice.
+// Requeues the request when it returns true.
 bool RequestCore::State::canWait(Record &R, TimePoint Now) {
-  bool IsFresh = !R.EndedAttemptMayHaveRun_ && !R.Answer_.hasBegun();
-  bool IsWanted = !R.Answered_ && !R.CallerGone_ && Now < R.Call_->Deadline_;
-  if (!R.IsOverloaded_ || !IsFresh || !IsWanted || R.Call_->needsClaim())
+  bool HasNotRun = !R.EndedAttemptMayHaveRun_ && !R.Answer_.hasBegun();
+  bool CallerWaits = !R.Answered_ && !R.CallerGone_ && Now < R.Call_->Deadline_;
+  if (!R.IsOverloaded_ || !HasNotRun || !CallerWaits || R.Call_->needsClaim())
     return false;
   if (R.Attempts_ >= Options_.MaxAttempts_ || !Admission_.requeue(R.Call_->Id_))
     return false;
@@ -172,9 +175,9 @@
   return true;
 }
 
-// A first attempt takes the place it was given; a later one only within the
-// retry budget, so that full endpoints are not asked over and over.
-bool RequestCore::State::mayTakePlace(Record &R, TimePoint Now) {
+// A first attempt uses the slot it was given. A later one needs a token of the
+// retry budget, so that full endpoints are not tried repeatedly.
+bool RequestCore::State::mayDispatch(Record &R, TimePoint Now) {
   return R.Attempts_ == 0 || Budget_.take(R.Call_->Service_, Now);
 }
 
--- a/hawthornroad/routing/RequestRecord.h
+++ b/hawthornroad/routing/RequestRecord.h
@@ -1,4 +1,4 @@
-// What RequestCore remembers of one request. Internal to RequestCore.
+// RequestCore's state for one request. Internal to RequestCore.
 
 #ifndef HAWTHORNROAD_ROUTING_REQUESTRECORD_H
 #define HAWTHORNROAD_ROUTING_REQUESTRECORD_H
@@ -13,22 +13,23 @@
 
 namespace hawthornroad {
 
-// The current try of a request at one endpoint.
+// The current attempt to run a request at one endpoint.
 struct AttemptRecord {
   AttemptId Id_;
   std::uint64_t Number_ = 0;
   Vm Vm_;
   PeerAddress Address_;
-  // The agent process meant, then the one heard.
+  // The agent process the attempt was sent to; once an agent has replied, the
+  // process that replied.
   Incarnation Incarnation_ = 0;
-  bool Heard_ = false;
+  bool HasReplied_ = false;
   AttemptStream Stream_;
   TimePoint BegunAt_;
-  // Last word that brought the answer forward.
-  TimePoint HeardAt_;
-  TimePoint AskedAt_;
-  // Questions without an answer so far.
-  unsigned Asks_ = 0;
+  // The last update that advanced the answer.
+  TimePoint LastProgressAt_;
+  TimePoint QueriedAt_;
+  // Queries that have not been answered yet.
+  unsigned Queries_ = 0;
   std::uint64_t Acked_ = 0;
   bool FirstByteSeen_ = false;
 };
@@ -40,18 +41,18 @@
   std::set<Vm> Tried_;
   VersionDigest Version_;
   CallerAnswer Answer_;
-  // Why the last attempt, or the request, came to nothing.
+  // Why the last attempt, or the request itself, failed.
   Problem Problem_;
-  // The endpoint found by a guard for the next attempt.
+  // The endpoint that a guard selected for the next attempt.
   std::optional<Vm> Next_;
-  // An attempt that is over may have run.
+  // One of the ended attempts may have run.
   bool EndedAttemptMayHaveRun_ = false;
-  // The last attempt's endpoint is healthy: it may be tried once more.
-  bool MayTrySameAgain_ = false;
-  // The last attempt was refused for want of a place.
+  // The last attempt's endpoint is healthy and may be tried once more.
+  bool MayRetrySameVm_ = false;
+  // The last attempt was refused because the endpoint had no free slot.
   bool IsOverloaded_ = false;
   bool CallerGone_ = false;
-  // The caller has its final answer.
+  // The caller has received its final answer.
   bool Answered_ = false;
   bool IsWhole_ = false;
   bool WasAdmitted_ = false;
@@ -59,8 +60,9 @@
   unsigned Status_ = 0;
   std::size_t CallerBacklog_ = 0;
   std::optional<KeptAnswer> Kept_;
-  // What the claim's holder says became of the key, in place of outcome().
-  std::optional<Outcome> Said_;
+  // The outcome of the key as reported by the holder of its claim; takes the
+  // place of outcome().
+  std::optional<Outcome> ClaimOutcome_;
   Vm LastVm_;
   std::optional<TimePoint> DispatchedAt_;
   std::optional<TimePoint> FirstByteAt_;
@@ -71,8 +73,8 @@
     return EndedAttemptMayHaveRun_ || Attempt_.has_value();
   }
   Outcome outcome() const {
-    if (Said_)
-      return *Said_;
+    if (ClaimOutcome_)
+      return *ClaimOutcome_;
     if (IsWhole_)
       return Outcome::Answered;
     return mayHaveRun() ? Outcome::Unknown : Outcome::NotRun;
--- a/hawthornroad/routing/RequestTypes.h
+++ b/hawthornroad/routing/RequestTypes.h
@@ -1,5 +1,5 @@
-// The typed events and actions of the request path: what RequestCore is told
-// and what it asks for. All are plain values.
+// The value types exchanged with RequestCore: the events it is given and the
+// actions it returns.
 
 #ifndef HAWTHORNROAD_ROUTING_REQUESTTYPES_H
 #define HAWTHORNROAD_ROUTING_REQUESTTYPES_H
@@ -24,24 +24,25 @@
 };
 using HeaderFields = std::vector<HeaderField>;
 
-// One request as the caller sent it, checked for form. Shared by all attempts.
+// A validated request of a caller. All of its attempts share it.
 struct CallerRequest {
   RequestId Id_;
   Customer Customer_;
   ServiceName Service_;
   std::string Method_;
-  // What follows /{service}, with the query.
+  // The path after /{service}, with the query string.
   std::string Target_;
   HeaderFields Headers_;
   std::string Body_;
   TimePoint ArrivedAt_;
   TimePoint Deadline_;
   Priority Priority_ = Priority::Normal;
-  // False when the caller or the declaration says it must run at most once.
+  // False when the caller or the declaration requires that the call runs at
+  // most once.
   bool Repeatable_ = true;
-  // Set for calls whose repeats must be recognised.
+  // Set for calls whose duplicates must be detected.
   std::string IdempotencyKey_;
-  // Hash of the prompt's leading part; 0 means no affinity.
+  // Hash of the start of the prompt, for prefix affinity; 0 means no affinity.
   std::uint64_t PrefixHash_ = 0;
   bool operator==(const CallerRequest &) const = default;
 
@@ -49,33 +50,33 @@
 };
 using SharedRequest = std::shared_ptr<const CallerRequest>;
 
-// What the caller is told became of its request.
+// The outcome of a request as reported to the caller.
 enum class Outcome {
-  Answered, // here is the answer of the endpoint, whole
+  Answered, // the complete answer of the endpoint was delivered
   NotRun,   // no byte of this request reached an engine or service
-  Unknown   // it may have run; there is no whole answer
+  Unknown   // it may have run, but there is no complete answer
 };
 std::string_view toString(Outcome O);
 
-// A refusal or failure as told to the caller.
+// A refusal or failure as reported to the caller.
 struct Problem {
   unsigned Status_ = 503;
   Outcome Outcome_ = Outcome::NotRun;
   Step Step_ = Step::Admission;
-  // The process or VM at which it arose; empty when it is this entry.
+  // The process or VM where the problem arose; empty for this entry.
   std::string Peer_;
-  // A short stable name: "queue_full", "attempt_lost".
+  // A short, stable identifier, such as "queue_full" or "attempt_lost".
   std::string Cause_;
   std::string Detail_;
-  // Zero when coming back would not help.
+  // Zero when a retry would not help.
   Duration RetryAfter_ = Duration::zero();
   bool operator==(const Problem &) const = default;
 };
 
-// ---- Word of an attempt, from its agent ----------------------------------
+// ---- Updates on an attempt, sent by its agent ----------------------------
 
-// Which agent process said it; a restarted agent knows nothing of attempts of
-// the one before.
+// The agent process that sent the update. A restarted agent has no record of
+// the attempts of its predecessor.
 struct AttemptSource {
   AttemptId Attempt_;
   Incarnation Incarnation_ = 0;
@@ -84,9 +85,9 @@
 struct AttemptAccepted {
   AttemptSource From_;
 };
-// The agent's own statement that the attempt did not run and will not.
+// The agent confirms that the attempt did not run and never will.
 struct AttemptRefused {
-  // The reason of an endpoint whose places are all taken.
+  // The reason given by an endpoint that has no free slot.
   static constexpr std::string_view Overloaded = "overloaded";
 
   AttemptSource From_;
@@ -121,16 +122,16 @@
   AttemptSource From_;
   Phase Phase_ = Phase::NeverSeen;
 };
-using AttemptWord =
+using AttemptUpdate =
     std::variant<AttemptAccepted, AttemptRefused, AttemptHead, AttemptData,
                  AttemptEnd, AttemptFailed, AttemptState>;
 
-// The connection that carried attempts to Address_ is gone.
+// The connection to Address_, which carried attempts, was lost.
 struct ConnectionLost {
   PeerAddress Address_;
-  // It never came to be: nothing was sent on it.
+  // It was never established, so nothing was sent on it.
   bool NeverConnected_ = false;
-  // Attempts begun with a higher number were not yet on it.
+  // Attempts with a higher number had not been sent on it yet.
   std::uint64_t BegunUpTo_ = 0;
   std::string Message_;
 };
@@ -139,7 +140,7 @@
 
 struct BeginAttempt {
   AttemptId Attempt_;
-  // Counts up over all attempts of this entry; see ConnectionLost.
+  // Increases over all attempts of this entry; see ConnectionLost.
   std::uint64_t Number_ = 0;
   PeerAddress Address_;
   SharedRequest Request_;
@@ -151,19 +152,19 @@
   AttemptId Attempt_;
   PeerAddress Address_;
 };
-struct AskAttempt {
+struct QueryAttempt {
   AttemptId Attempt_;
   PeerAddress Address_;
   std::uint64_t Offset_ = 0;
-  // Over a connection dialled anew.
-  bool Fresh_ = false;
+  // Send the query over a newly opened connection.
+  bool NewConnection_ = false;
 };
 struct AckAttempt {
   AttemptId Attempt_;
   PeerAddress Address_;
   std::uint64_t Offset_ = 0;
 };
-// A whole answer.
+// A complete answer.
 struct RespondWhole {
   RequestId Request_;
   unsigned Status_ = 200;
@@ -176,7 +177,7 @@
   Problem Problem_;
   VersionDigest Version_;
 };
-// A streamed answer: begin, bytes, then finish or abort.
+// A streamed answer: begin, bytes, then either finish or abort.
 struct StreamBegin {
   RequestId Request_;
   unsigned Status_ = 200;
@@ -190,33 +191,33 @@
 struct StreamFinish {
   RequestId Request_;
 };
-// Ends the caller's connection so that the body is seen to be not whole.
+// Closes the caller's connection so that the body is seen to be truncated.
 struct StreamAbort {
   RequestId Request_;
   Problem Problem_;
-  // An event stream gets the problem as its last event.
+  // An event stream carries the problem as its last event.
   bool IsEvents_ = false;
 };
 struct StartClaim {
   SharedRequest Request_;
 };
-// A whole answer as kept for repeats of a key.
+// A complete answer, stored so that repeats of a key can be served from it.
 struct KeptAnswer {
   unsigned Status_ = 200;
   HeaderFields Headers_;
   std::string Body_;
   VersionDigest Version_;
-  // False when the body was too large to be kept.
+  // False when the body was too large to store.
   bool HasBody_ = true;
   bool operator==(const KeptAnswer &) const = default;
 };
-// Says what became of a claimed request.
+// Reports the outcome of a claimed request.
 struct SettleClaim {
   RequestId Request_;
   Outcome Outcome_ = Outcome::Unknown;
   std::optional<KeptAnswer> Answer_;
 };
-// The request is over: for the access log and the metrics.
+// The request has ended; feeds the access log and the metrics.
 struct RequestDone {
   SharedRequest Request_;
   Outcome Outcome_ = Outcome::Unknown;
@@ -229,15 +230,15 @@
   bool CallerGone_ = false;
   Duration Queued_ = Duration::zero();
   std::optional<Duration> FirstByte_;
-  Duration Whole_ = Duration::zero();
+  Duration Total_ = Duration::zero();
 };
 using RequestAction =
-    std::variant<BeginAttempt, CancelAttempt, AskAttempt, AckAttempt,
+    std::variant<BeginAttempt, CancelAttempt, QueryAttempt, AckAttempt,
                  RespondWhole, RespondProblem, StreamBegin, StreamBytes,
                  StreamFinish, StreamAbort, StartClaim, SettleClaim,
                  RequestDone>;
 
-// How a claim ended, as told to RequestCore.
+// The result of a claim, as reported to RequestCore.
 struct ClaimWon {
   RequestId Request_;
 };
@@ -249,7 +250,7 @@
   RequestId Request_;
   Problem Problem_;
 };
-using ClaimWord = std::variant<ClaimWon, ClaimReplay, ClaimDenied>;
+using ClaimVerdict = std::variant<ClaimWon, ClaimReplay, ClaimDenied>;
 
 } // namespace hawthornroad
 
--- a/hawthornroad/routing/RequestWords.cpp
+++ b/hawthornroad/routing/RequestUpdates.cpp
@@ -5,12 +5,13 @@
 namespace hawthornroad {
 
 namespace {
-// Answers up to this size are kept with the claim.
-constexpr std::size_t MaxKeptBody = 64 * 1024;
-constexpr std::uint64_t AckEvery = 64 * 1024;
+// Answers up to this size are stored with the claim.
+constexpr std::size_t MaxStoredBody = 64 * 1024;
+constexpr std::uint64_t AckInterval = 64 * 1024;
 } // namespace
 
-// Null for word of an attempt that was given up; its agent is told to stop.
+// Null for an update on an attempt that is no longer current; its agent is told
+// to stop.
 RequestCore::State::Record *
 RequestCore::State::current(const AttemptSource &From, TimePoint Now) {
   auto Found = ByAttempt_.find(From.Attempt_);
@@ -20,8 +21,8 @@
   AttemptRecord &A = *R.Attempt_;
   if (From.Incarnation_ == 0 || From.Incarnation_ == A.Incarnation_)
     return &R;
-  if (!A.Heard_) {
-    // The agent was replaced before the begin reached it.
+  if (!A.HasReplied_) {
+    // The agent process was replaced before the begin arrived.
     A.Incarnation_ = From.Incarnation_;
     return &R;
   }
@@ -32,22 +33,22 @@
   return nullptr;
 }
 
-void RequestCore::State::hear(Record &R, const AttemptSource &From,
-                              TimePoint Now) {
+void RequestCore::State::noteContact(Record &R, const AttemptSource &From,
+                                     TimePoint Now) {
   AttemptRecord &A = *R.Attempt_;
-  A.Heard_ = true;
+  A.HasReplied_ = true;
   if (!A.Stream_.hasGap())
-    A.HeardAt_ = Now;
-  A.Asks_ = 0;
+    A.LastProgressAt_ = Now;
+  A.Queries_ = 0;
   fire(R, Event::Heard, Now);
 }
 
-void RequestCore::State::onWord(const AttemptAccepted &W, TimePoint Now) {
+void RequestCore::State::onUpdate(const AttemptAccepted &W, TimePoint Now) {
   if (Record *R = current(W.From_, Now))
-    hear(*R, W.From_, Now);
+    noteContact(*R, W.From_, Now);
 }
 
-void RequestCore::State::onWord(const AttemptRefused &W, TimePoint Now) {
+void RequestCore::State::onUpdate(const AttemptRefused &W, TimePoint Now) {
   Record *R = current(W.From_, Now);
   if (R == nullptr)
     return;
@@ -61,16 +62,16 @@
   fire(*R, Event::TurnedAway, Now);
 }
 
-void RequestCore::State::onWord(const AttemptHead &W, TimePoint Now) {
+void RequestCore::State::onUpdate(const AttemptHead &W, TimePoint Now) {
   Record *R = current(W.From_, Now);
   if (R == nullptr)
     return;
-  hear(*R, W.From_, Now);
+  noteContact(*R, W.From_, Now);
   if (R->Answer_.hasHead() && R->Attempt_->Stream_.offset() > 0)
-    return; // sent again after a question
-  bool IsOther = !W.Version_.empty() && W.Version_ != R->Version_;
-  bool Fits = R->Answer_.head({W.Status_, W.Headers_, R->Version_});
-  if (Fits && !IsOther)
+    return; // sent again after a query
+  bool IsOtherVersion = !W.Version_.empty() && W.Version_ != R->Version_;
+  bool HeadMatches = R->Answer_.head({W.Status_, W.Headers_, R->Version_});
+  if (HeadMatches && !IsOtherVersion)
     return;
   fail(*R,
        problem(status::BadGateway, Step::Run, *R, "wrong_version",
@@ -78,46 +79,46 @@
        true, Now);
 }
 
-void RequestCore::State::onWord(const AttemptData &W, TimePoint Now) {
+void RequestCore::State::onUpdate(const AttemptData &W, TimePoint Now) {
   Record *R = current(W.From_, Now);
-  // Bytes before the head cannot be placed; they are asked for again.
+  // Bytes that arrive before the head cannot be used; they are queried again.
   if (R == nullptr || !R->Answer_.hasHead())
     return;
   std::string Bytes = R->Attempt_->Stream_.data(W.Offset_, W.Bytes_);
-  hear(*R, W.From_, Now);
+  noteContact(*R, W.From_, Now);
   if (Bytes.empty())
     return;
   if (!R->Attempt_->FirstByteSeen_) {
     R->Attempt_->FirstByteSeen_ = true;
     Chooser_.firstByte(R->Attempt_->Vm_, Now - R->Attempt_->BegunAt_, Now);
   }
-  passOn(*R, R->Answer_.data(Bytes), Now);
+  forward(*R, R->Answer_.data(Bytes), Now);
   ack(*R, false);
   checkEnd(*R, Now);
 }
 
-void RequestCore::State::onWord(const AttemptEnd &W, TimePoint Now) {
+void RequestCore::State::onUpdate(const AttemptEnd &W, TimePoint Now) {
   Record *R = current(W.From_, Now);
   if (R == nullptr || !R->Answer_.hasHead())
     return;
   R->Attempt_->Stream_.end(W.Length_, W.Hash_);
-  hear(*R, W.From_, Now);
+  noteContact(*R, W.From_, Now);
   checkEnd(*R, Now);
 }
 
-void RequestCore::State::onWord(const AttemptFailed &W, TimePoint Now) {
+void RequestCore::State::onUpdate(const AttemptFailed &W, TimePoint Now) {
   Record *R = current(W.From_, Now);
   if (R == nullptr)
     return;
-  R->Attempt_->Heard_ = true;
+  R->Attempt_->HasReplied_ = true;
   Problem P = problem(status::BadGateway, Step::Run, *R, "attempt_failed",
                       W.Step_ + ": " + W.Peer_ + ": " + W.Message_);
   fail(*R, std::move(P), !W.NotRun_, Now);
 }
 
-// "Never seen" by the very process that was meant is a promise: it refuses the
-// attempt from now on. From a process that came after it, it says nothing.
-void RequestCore::State::onWord(const AttemptState &W, TimePoint Now) {
+// "Never seen" from the process that the begin was sent to is a promise to
+// refuse the attempt from now on. From a later process it has no meaning.
+void RequestCore::State::onUpdate(const AttemptState &W, TimePoint Now) {
   auto Found = ByAttempt_.find(W.From_.Attempt_);
   if (Found == ByAttempt_.end())
     return;
@@ -126,11 +127,11 @@
   bool SameProcess = W.From_.Incarnation_ == A.Incarnation_;
   if (W.Phase_ != AttemptState::Phase::NeverSeen) {
     if (Record *Current = current(W.From_, Now))
-      hear(*Current, W.From_, Now);
+      noteContact(*Current, W.From_, Now);
     return;
   }
-  bool NotRun = SameProcess && !A.Heard_;
-  R.MayTrySameAgain_ = NotRun;
+  bool NotRun = SameProcess && !A.HasReplied_;
+  R.MayRetrySameVm_ = NotRun;
   fail(R,
        problem(status::BadGateway, Step::Dispatch, R, "attempt_lost",
                NotRun ? "the request did not reach the endpoint"
@@ -138,8 +139,8 @@
        !NotRun, Now);
 }
 
-void RequestCore::State::passOn(Record &R, CallerAnswer::Out Out,
-                                TimePoint Now) {
+void RequestCore::State::forward(Record &R, CallerAnswer::Out Out,
+                                 TimePoint Now) {
   if (R.Answered_ || R.CallerGone_)
     return;
   RequestId Id = R.Call_->Id_;
@@ -166,9 +167,9 @@
     return;
   ack(R, true);
   bool IsError = R.Answer_.head().Status_ >= status::FirstServerError;
-  bool Again = IsError && R.Call_->Repeatable_ && !R.Answer_.hasBegun() &&
-               canRetry(R, Now);
-  if (Again) {
+  bool ShouldRetry = IsError && R.Call_->Repeatable_ && !R.Answer_.hasBegun() &&
+                     canRetry(R, Now);
+  if (ShouldRetry) {
     fail(R,
          problem(status::BadGateway, Step::Run, R, "endpoint_error",
                  "the endpoint answered with an error"),
@@ -179,19 +180,19 @@
     R.FirstByteAt_ = Now;
   R.IsWhole_ = true;
   if (R.Call_->needsClaim())
-    R.Kept_ = R.Answer_.kept(MaxKeptBody);
+    R.Kept_ = R.Answer_.kept(MaxStoredBody);
   endAttempt(R, IsError ? Chooser::Result::Failed : Chooser::Result::Answered,
              true, Now);
   fire(R, Event::Whole, Now);
 }
 
 // While the caller does not read, nothing more is acknowledged, so the agent
-// stops reading from the engine when its bounded buffer is full.
+// stops reading from the engine once its bounded buffer is full.
 void RequestCore::State::ack(Record &R, bool Whole) {
   AttemptRecord &A = *R.Attempt_;
-  std::uint64_t Open = A.Stream_.offset() - A.Acked_;
-  bool Held = R.CallerBacklog_ > Options_.MaxCallerBacklog_;
-  if (!Whole && (Open < AckEvery || Held))
+  std::uint64_t Unacked = A.Stream_.offset() - A.Acked_;
+  bool CallerIsSlow = R.CallerBacklog_ > Options_.MaxCallerBacklog_;
+  if (!Whole && (Unacked < AckInterval || CallerIsSlow))
     return;
   A.Acked_ = A.Stream_.offset();
   Out_.push_back(AckAttempt{A.Id_, A.Address_, A.Acked_});
@@ -200,14 +201,14 @@
 void RequestCore::State::onLost(Record &R, const ConnectionLost &Lost,
                                 TimePoint Now) {
   AttemptRecord &A = *R.Attempt_;
-  bool Asking = R.state() != RequestState::Running;
+  bool IsQuerying = R.state() != RequestState::Running;
   if (!Lost.NeverConnected_)
     return fire(R, Event::Lost, Now);
-  if (Asking) {
-    A.Asks_ = std::max(A.Asks_, AsksBeforeLeaving);
+  if (IsQuerying) {
+    A.Queries_ = std::max(A.Queries_, QueriesBeforeFailover);
     return fire(R, Event::Unreachable, Now);
   }
-  if (A.Heard_)
+  if (A.HasReplied_)
     return fire(R, Event::Lost, Now);
   fail(R,
        problem(status::Unavailable, Step::Connect, R, "endpoint_unreachable",
--- a/hawthornroad/routing/RetryBudget.h
+++ b/hawthornroad/routing/RetryBudget.h
@@ -1,13 +1,14 @@
-// Allows retries as a share of traffic, so that a failing fleet is not buried
-// under its own repeats.
+// Limits retries to a share of the traffic, so that retries do not overload a
+// failing fleet.
 //
 //   RetryBudget B;                     // 10 %
 //   B.noteRequest(Service, Now);       // each first attempt
 //   if (B.take(Service, Now)) retry();
 //
-// Each first attempt of the last Window earns Share of a retry; a small floor
-// lets a quiet service retry at all. A retry after a truthful not-run refusal
-// costs the same: it too loads the fleet. No I/O, no clock, no threads.
+// Each first attempt within the last Window earns Share of a retry. A small
+// minimum rate, the floor, allows retries to services with little traffic. A
+// retry after a not-run refusal costs the same, since it loads the fleet as
+// well. No I/O, no clock, no threads.
 
 #ifndef HAWTHORNROAD_ROUTING_RETRYBUDGET_H
 #define HAWTHORNROAD_ROUTING_RETRYBUDGET_H
@@ -22,8 +23,9 @@
 public:
   struct Options {
     double Share_ = 0.1;
-    // Retries a second a service always has. An entry sees a few requests a
-    // second of a service; one retry a second would be a third of those.
+    // Minimum rate of retries per service, in retries per second. An entry
+    // sees a few requests per second of a service; one retry per second would
+    // be a third of those.
     double Floor_ = 0.2;
     Duration Window_ = Seconds(10);
   };
@@ -37,13 +39,14 @@
 private:
   struct Account {
     double Tokens_ = 0;
-    // Tokens given by the floor that requests have not earned since; what they
-    // earn repays it first, so a busy service gets its share and no more.
-    double Advanced_ = 0;
+    // Tokens granted by the floor and not yet earned by requests. What requests
+    // earn repays these first, so that a busy service gets its share and no
+    // more.
+    double Borrowed_ = 0;
     TimePoint Updated_;
     bool Started_ = false;
   };
-  Account &refreshed(const ServiceName &Service, TimePoint Now);
+  Account &updatedAccount(const ServiceName &Service, TimePoint Now);
 
   Options Options_;
   std::map<ServiceName, Account> Accounts_;
--- a/hawthornroad/routing/ServiceRate.cpp
+++ b/hawthornroad/routing/ServiceRate.cpp
@@ -5,18 +5,18 @@
 namespace hawthornroad {
 
 namespace {
-// Weight of a new sample once there are this many.
-constexpr std::size_t SamplesKept = 64;
-constexpr double LongQuantile = 0.95;
-// Step of the quantile's search, as a share of the mean.
+// Once this many samples are in, a new sample has the weight of one of them.
+constexpr std::size_t MaxSamples = 64;
+constexpr double SlowQuantile = 0.95;
+// Step of the quantile estimator, as a share of the mean.
 constexpr double QuantileStep = 0.05;
-// Guards the division: nothing real takes less.
-constexpr double LeastSeconds = 1e-6;
+// Avoids a division by zero; no real request takes less.
+constexpr double MinSeconds = 1e-6;
 
 Duration toDuration(double InSeconds) {
-  constexpr double Most = 86400;
+  constexpr double MaxSeconds = 86400;
   return std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(std::min(InSeconds, Most)));
+      std::chrono::duration<double>(std::min(InSeconds, MaxSeconds)));
 }
 } // namespace
 
@@ -28,17 +28,18 @@
 void ServiceRate::finished(Duration Took) {
   abandoned();
   double Seconds = std::chrono::duration<double>(Took).count();
-  Seconds = std::max(Seconds, LeastSeconds);
+  Seconds = std::max(Seconds, MinSeconds);
   if (Samples_ == 0)
-    LongSeconds_ = Seconds;
-  Samples_ = std::min(Samples_ + 1, SamplesKept);
+    SlowSeconds_ = Seconds;
+  Samples_ = std::min(Samples_ + 1, MaxSamples);
   MeanSeconds_ += (Seconds - MeanSeconds_) / static_cast<double>(Samples_);
-  // Steps up a lot for each sample above and down a little for each below, in
-  // the ratio at which one in ten lies above.
+  // Stochastic estimate of the quantile: a large step up for each sample above
+  // the estimate, a small step down for each below it, in the ratio at which a
+  // share of 1 - SlowQuantile of the samples lies above.
   double Step = QuantileStep * MeanSeconds_;
-  LongSeconds_ +=
-      Step * (Seconds < LongSeconds_ ? LongQuantile - 1 : LongQuantile);
-  LongSeconds_ = std::max(LongSeconds_, MeanSeconds_);
+  SlowSeconds_ +=
+      Step * (Seconds < SlowSeconds_ ? SlowQuantile - 1 : SlowQuantile);
+  SlowSeconds_ = std::max(SlowSeconds_, MeanSeconds_);
 }
 
 double ServiceRate::perSecond() const {
@@ -48,12 +49,12 @@
   return Places / MeanSeconds_;
 }
 
-Duration ServiceRate::timeFor(double Places) const {
+Duration ServiceRate::timeUntilFree(double Places) const {
   if (!isKnown())
     return Duration::zero();
   return toDuration(Places / perSecond());
 }
 
-Duration ServiceRate::longest() const { return toDuration(LongSeconds_); }
+Duration ServiceRate::longest() const { return toDuration(SlowSeconds_); }
 
 } // namespace hawthornroad
--- a/hawthornroad/routing/ServiceRate.h
+++ b/hawthornroad/routing/ServiceRate.h
@@ -1,17 +1,18 @@
-// How fast a service gives this entry places, measured from its own requests.
+// Estimates how fast the slots of a service become free for this entry, from
+// the entry's own requests.
 //
 //   ServiceRate R;
 //   R.started(); ...
 //   R.finished(Took);
-//   Duration Wait = R.timeFor(PlacesAhead);
+//   Duration Wait = R.timeUntilFree(PlacesAhead);
 //
-// Little's law: with n requests in progress that take W on average, places come
-// free at n / W a second. That holds at once when endpoints come or go, while a
-// count of completions a second would need a window to notice, and would take
-// a quiet minute for a slow one.
+// Uses Little's law: with n requests in progress that take W on average, slots
+// become free at a rate of n / W. This adapts immediately when endpoints come
+// or go. A count of completions per second would need a window to notice, and
+// would mistake a minute with little traffic for a slow service.
 //
-// Also kept: the time that only one request in ten exceeds. A request that has
-// less left is likely to spend a place and miss its deadline all the same.
+// Also estimates the 95th percentile of the service time. A request with less
+// time left than that is likely to occupy a slot and still miss its deadline.
 
 #ifndef HAWTHORNROAD_ROUTING_SERVICERATE_H
 #define HAWTHORNROAD_ROUTING_SERVICERATE_H
@@ -25,16 +26,16 @@
 class ServiceRate {
 public:
   void started() { ++InProgress_; }
-  // The request left without an answer that would tell a time.
+  // The request ended without an answer that gives a service time.
   void abandoned();
   void finished(Duration Took);
 
   bool isKnown() const { return Samples_ > 0; }
-  // Places a second; 0 while unknown.
+  // Slots that become free per second; 0 while unknown.
   double perSecond() const;
-  // Time until Places have come free; zero while unknown.
-  Duration timeFor(double Places) const;
-  // The longest time that a request is likely to take; zero while unknown.
+  // Time until the given number of slots have become free; zero while unknown.
+  Duration timeUntilFree(double Places) const;
+  // 95th percentile of the service time; zero while unknown.
   Duration longest() const;
   std::size_t inProgress() const { return InProgress_; }
 
@@ -42,7 +43,7 @@
   std::size_t InProgress_ = 0;
   std::size_t Samples_ = 0;
   double MeanSeconds_ = 0;
-  double LongSeconds_ = 0;
+  double SlowSeconds_ = 0;
 };
 
 } // namespace hawthornroad
--- a/hawthornroad/routing/TokenBucket.cpp
+++ b/hawthornroad/routing/TokenBucket.cpp
@@ -5,7 +5,7 @@
 namespace hawthornroad {
 
 namespace {
-constexpr Duration Never = std::chrono::hours(24);
+constexpr Duration MaxRefillWait = std::chrono::hours(24);
 } // namespace
 
 void TokenBucket::refill(TimePoint Now) {
@@ -41,8 +41,8 @@
   if (Tokens_ >= 1.0)
     return Duration::zero();
   double Wait = Rate_ > 0 ? (1.0 - Tokens_) / Rate_ : 1e9;
-  if (Wait >= std::chrono::duration<double>(Never).count())
-    return Never;
+  if (Wait >= std::chrono::duration<double>(MaxRefillWait).count())
+    return MaxRefillWait;
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(Wait));
 }
--- a/hawthornroad/routing/TokenBucket.h
+++ b/hawthornroad/routing/TokenBucket.h
@@ -1,11 +1,11 @@
-// A token bucket: Rate tokens a second, at most Burst saved up.
+// A token bucket that refills at Rate tokens per second up to Burst tokens.
 //
 //   TokenBucket B(5.0, 10.0);
 //   if (B.available(Now)) B.take(Now);
 //   else comeBackAfter(B.untilAvailable(Now));
 //
-// Looking and taking are apart, so that a request refused for another reason
-// spends nothing. No clock: a time earlier than the last one adds nothing.
+// available() and take() are separate, so that a request refused for another
+// reason uses no token. No clock: a time before the last one adds no tokens.
 
 #ifndef HAWTHORNROAD_ROUTING_TOKENBUCKET_H
 #define HAWTHORNROAD_ROUTING_TOKENBUCKET_H
@@ -19,11 +19,11 @@
   TokenBucket(double Rate, double Burst)
       : Rate_(Rate), Burst_(Burst), Tokens_(Burst) {}
 
-  // Changes the limits and keeps the level, at most the new burst.
+  // Changes the limits; keeps the current tokens, up to the new burst.
   void resize(double Rate, double Burst);
   bool available(TimePoint Now);
   void take(TimePoint Now);
-  // Time until a token is there; a day when the rate is 0.
+  // Time until a token is available; a day when the rate is 0.
   Duration untilAvailable(TimePoint Now);
   double rate() const { return Rate_; }
 
--- a/hawthornroad/runtime/AgentAttempts.cpp
+++ b/hawthornroad/runtime/AgentAttempts.cpp
@@ -277,7 +277,7 @@
           {"unacknowledged", Table_.unacknowledged()},
           {"finished", Table_.finished()},
           {"finished_bytes", Table_.finishedBytes()},
-          {"refusals_forgotten_early", Table_.forgottenEarly()}};
+          {"refusals_forgotten_early", Table_.evictedEarly()}};
 }
 
 } // namespace hawthornroad
--- a/hawthornroad/runtime/ClaimTable.cpp
+++ b/hawthornroad/runtime/ClaimTable.cpp
@@ -28,7 +28,7 @@
   return Out;
 }
 
-using Kind = ClaimAnswer::Kind;
+using Kind = ClaimCallResult::Kind;
 
 // Any status but the documented ones says nothing of whether a write took
 // effect.
@@ -68,7 +68,7 @@
 }
 
 void ClaimTable::call(RequestId Request, std::uint64_t Number, HttpRequest R) {
-  ClaimAnswer Answer;
+  ClaimCallResult Answer;
   Answer.Request_ = Request;
   Answer.Call_ = Number;
   if (Address_.empty()) {
--- a/hawthornroad/runtime/ClaimTable.h
+++ b/hawthornroad/runtime/ClaimTable.h
@@ -1,7 +1,8 @@
 // Carries out ClaimCore's calls to the platform's table over HTTP.
 //
 //   ClaimTable Table(Client, "127.0.0.1:9000", Seconds(2),
-//                    [&](ClaimAnswer A) {...});   // on the client's IoThread
+//                    [&](ClaimCallResult A) {...});   // on the client's
+//                    IoThread
 //   Table.run(ClaimWrite{...});
 
 #ifndef HAWTHORNROAD_RUNTIME_CLAIMTABLE_H
@@ -17,7 +18,7 @@
 
 class ClaimTable {
 public:
-  using OnAnswer = std::function<void(ClaimAnswer)>;
+  using OnAnswer = std::function<void(ClaimCallResult)>;
 
   ClaimTable(HttpClient &Client, std::string Address, Duration Timeout,
              OnAnswer Handler);
--- a/hawthornroad/runtime/EntryActions.cpp
+++ b/hawthornroad/runtime/EntryActions.cpp
@@ -18,7 +18,7 @@
     else if (const auto *R = std::get_if<ClaimRead>(&Each))
       Table_->run(*R);
     else
-      run(Core_.claimWord(std::get<ClaimWord>(Each), Now), Now);
+      run(Core_.claimDecided(std::get<ClaimVerdict>(Each), Now), Now);
   }
 }
 
@@ -45,13 +45,13 @@
     Net_->send(A.Address_, Lane::Requests, toFrame(A));
 }
 
-void EntryProcess::State::perform(const AskAttempt &A, TimePoint) {
-  if (A.Fresh_)
+void EntryProcess::State::perform(const QueryAttempt &A, TimePoint) {
+  if (A.NewConnection_)
     Net_->sendFresh(A.Address_, Lane::Requests, toFrame(A));
   else
     Net_->send(A.Address_, Lane::Requests, toFrame(A));
   Metrics_.count("hawthornroad_attempt_questions_total",
-                 {{"fresh", A.Fresh_ ? "yes" : "no"}});
+                 {{"fresh", A.NewConnection_ ? "yes" : "no"}});
 }
 
 void EntryProcess::State::perform(const AckAttempt &A, TimePoint) {
--- a/hawthornroad/runtime/EntryProcess.cpp
+++ b/hawthornroad/runtime/EntryProcess.cpp
@@ -92,9 +92,9 @@
       std::to_string(Net_->listen(PeerIp, portOf(Common.PeerListen_)));
   Table_ = std::make_unique<ClaimTable>(
       Platform_, Common.Platform_.Table_, Common.Platform_.Timeout_,
-      [this](ClaimAnswer A) {
+      [this](ClaimCallResult A) {
         Loop_->post([this, A = std::move(A)](TimePoint Now) {
-          run(Claims_.tableAnswer(A, Now), Now);
+          run(Claims_.tableCallEnded(A, Now), Now);
         });
       });
   ControlPlane::Setup Setup{Common, Incarnation_, "entry",
@@ -255,7 +255,7 @@
                                     const wire::FrameT &Frame, TimePoint Now) {
   if (Control_->onFrame(From, Frame, Now))
     return;
-  std::optional<AttemptWord> Word = toAttemptWord(Frame, From.Incarnation_);
+  std::optional<AttemptUpdate> Word = toAttemptWord(Frame, From.Incarnation_);
   if (!Word)
     return;
   AttemptId Id =
@@ -264,7 +264,7 @@
   if (const HttpExchange *X = exchange(Request))
     run(Core_.callerBacklog(Request, X->backlog(), Now), Now);
   CurrentConnection_ = From.Connection_;
-  run(Core_.attemptWord(*Word, Now), Now);
+  run(Core_.attemptUpdated(*Word, Now), Now);
   CurrentConnection_ = 0;
 }
 
--- a/hawthornroad/runtime/EntryState.h
+++ b/hawthornroad/runtime/EntryState.h
@@ -53,7 +53,7 @@
   void run(const ClaimCore::Actions &Actions, TimePoint Now);
   void perform(const BeginAttempt &A, TimePoint Now);
   void perform(const CancelAttempt &A, TimePoint Now);
-  void perform(const AskAttempt &A, TimePoint Now);
+  void perform(const QueryAttempt &A, TimePoint Now);
   void perform(const AckAttempt &A, TimePoint Now);
   void perform(const RespondWhole &A, TimePoint Now);
   void perform(const RespondProblem &A, TimePoint Now);
--- a/hawthornroad/runtime/RequestReport.cpp
+++ b/hawthornroad/runtime/RequestReport.cpp
@@ -29,7 +29,7 @@
     Metrics_.observe("hawthornroad_first_byte_seconds",
                      inSeconds(*Done.FirstByte_), Who);
   if (Done.Outcome_ == Outcome::Answered)
-    Metrics_.observe("hawthornroad_request_seconds", inSeconds(Done.Whole_),
+    Metrics_.observe("hawthornroad_request_seconds", inSeconds(Done.Total_),
                      Who);
   std::string First = Done.FirstByte_ ? millisecondsText(*Done.FirstByte_) : "";
   log(LogLevel::Info, Step::Answer, "request done",
@@ -46,7 +46,7 @@
        {"caller_gone", Done.CallerGone_ ? "true" : ""},
        {"queued_ms", millisecondsText(Done.Queued_)},
        {"first_byte_ms", First},
-       {"whole_ms", millisecondsText(Done.Whole_)}});
+       {"whole_ms", millisecondsText(Done.Total_)}});
 }
 
 } // namespace hawthornroad
--- a/tests/integration/AgentDrainTest.cpp
+++ b/tests/integration/AgentDrainTest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Callers that send one call after another, each with a key of its own.
+// Callers that send calls one after another, each with a key of its own.
 class Load {
 public:
   Load(std::string Entry, int Callers) : Entry_(std::move(Entry)) {
@@ -26,7 +26,7 @@
         Each.join();
   }
   int answered() const { return Answered_; }
-  // Calls that ended in anything but a whole 200.
+  // Calls that did not end with a complete 200.
   int failed() const { return Failed_; }
 
 private:
@@ -54,15 +54,15 @@
   std::vector<std::thread> Threads_;
 };
 
-// An entry, and two agents with a service each whose calls may not be
-// repeated, so that no retry can hide a call that was cut.
+// An entry and two agents, each with a service whose calls are not repeatable,
+// so that no retry can hide an interrupted call.
 struct DrainFixture {
   DrainFixture()
       : Fleet_(FleetBuilder().modelVms(0).plainVms(2).build()),
         A_(Fleet_->agent(0)), B_(Fleet_->agent(1)) {
     WeightVersion V1 = Fleet_->publishWeights("v1", 1);
     boost::json::object Text = Fleet_->declaration(V1);
-    // The load must meet no limit but the endpoints' own.
+    // The load is limited by the endpoints only.
     Text["customers"].at("hp-travel") = {{"requests_per_second", 100000},
                                          {"burst", 100000}};
     REQUIRE(Fleet_->apply(Text).ExitCode_ == 0);
@@ -80,7 +80,7 @@
   static std::int64_t runs(FleetProcess &P) {
     return numberAt(P.Endpoint_->counters(), "total");
   }
-  // Begins calls that last Work_ms until P runs one; returns them all.
+  // Starts calls that take WorkMs until P runs one; returns all of them.
   std::vector<std::future<HttpResponse>> occupy(FleetProcess &P, int WorkMs) {
     setWork(WorkMs);
     std::vector<std::future<HttpResponse>> Calls;
@@ -107,16 +107,16 @@
 
 } // namespace
 
-// An operator stops one endpoint's VM in the middle of the morning. Callers see
-// cut calls when the agent ends with work in progress, and refusals or lost
-// calls when entries go on sending it work: the platform's list still calls
-// the VM live half a minute later.
+// An operator stops the VM of an endpoint under load. Calls are interrupted if
+// the agent exits with work in progress, and refused or lost if entries keep
+// sending it work: the platform's list still shows the VM as live half a minute
+// later.
 TEST_CASE_METHOD(DrainFixture,
-                 "agent, stopped under load while the list calls it live, cuts "
-                 "nothing and gets no new work",
+                 "agent, stopped under load while the list shows it as "
+                 "live, interrupts no call and gets no new work",
                  "[agent][drain]") {
-  // A long call holds the planned stop open. The membership list was published
-  // at the start and is not touched again.
+  // A long call delays the planned stop. The membership list was published at
+  // the start and does not change.
   auto Long = occupy(A_, 6000);
   setWork(20);
   Load Callers(callers(), 6);
@@ -140,7 +140,7 @@
   REQUIRE(runs(A_) + runs(B_) == Callers.answered() + Whole);
 }
 
-// POST /drain stands for the platform's own way to say that a VM leaves.
+// POST /drain stands for the platform's notice that a VM is leaving.
 TEST_CASE_METHOD(DrainFixture,
                  "agent, told to drain, refuses work at once and ends with "
                  "exit code 0",
--- a/tests/integration/AtMostOnceTest.cpp
+++ b/tests/integration/AtMostOnceTest.cpp
@@ -48,8 +48,8 @@
 
 TEST_CASE("invoice, its agent killed during the run, is unknown at once and "
           "runs once") {
-  // The client is billed by the run under way; sent again elsewhere it would
-  // be billed twice. The agent dies, the service goes on, nobody can tell.
+  // The call in progress bills the client; run again elsewhere it would bill
+  // twice. The agent dies and the service goes on, so the outcome is unknown.
   auto F = desks(twoZones("3000"));
   auto Answer = invoiceLater(F->entry(0), "k", 20000);
   FleetProcess &Agent = agentThatRuns(*F, "k");
@@ -57,7 +57,7 @@
   HttpResponse R = Answer.get();
   REQUIRE(outcome(R) == "unknown");
   requireTruth(*F, "k", R);
-  // Both entries say the same of the key, before and after a replacement.
+  // Both entries report the same outcome, before and after a replacement.
   eventually([&] { return outcome(invoice(F->entry(1), "k")) == "unknown"; },
              "the claim says unknown");
   F->start(Agent);
@@ -65,17 +65,17 @@
   REQUIRE(runs(*F, "k") == 1);
 }
 
-TEST_CASE("invoice, its agent killed before or after the run, keeps to the "
-          "truth") {
+TEST_CASE("invoice, its agent killed before or after the run, gets "
+          "the true outcome") {
   auto F = desks(twoZones("1"));
   HttpResponse Before = invoice(F->entry(0), "answered");
   REQUIRE(outcome(Before) == "answered");
   for (FleetProcess &Each : F->agents())
     F->kill(Each);
-  // After: the kept answer stands without any agent.
+  // After the run: the stored answer is served without any agent.
   REQUIRE(invoice(F->entry(1), "answered").Body_ == Before.Body_);
   REQUIRE(runs(*F, "answered") == 1);
-  // Before: nothing can have run, and the refusal says when to come back.
+  // Before the run: nothing can have run, and the refusal has a Retry-After.
   HttpResponse Refused = invoice(F->entry(0), "refused");
   REQUIRE(outcome(Refused) == "not-run");
   REQUIRE(findHeader(Refused.Headers_, "Retry-After").has_value());
@@ -84,8 +84,8 @@
 
 TEST_CASE("invoice, its entry killed and the key repeated at another, runs "
           "once") {
-  // The caller's connection breaks in the middle; it repeats the key at
-  // another entry, which cannot see what the dead one had done.
+  // The caller's connection breaks during the call; it repeats the key at
+  // another entry, which cannot know what the dead one did.
   auto F = desks(twoZones("1500"));
   auto Lost = invoiceLater(F->entry(0), "k", 3000);
   agentThatRuns(*F, "k");
@@ -101,11 +101,11 @@
   REQUIRE(runs(*F, "k") == 1);
 }
 
-TEST_CASE("invoice, its entry frozen before the dispatch and thawed after the "
-          "deadline, is not run by it") {
-  // Entry 0 is paused while its claim is being written. Its caller gives up and
-  // repeats the key elsewhere, long past the deadline entry 0 thaws and finds
-  // that it holds the claim: acting on it would bill a call nobody waits for.
+TEST_CASE("invoice, its entry frozen before the dispatch and "
+          "resumed after the deadline, is not run by it") {
+  // Entry 0 is frozen while its claim is being written. Its caller gives up and
+  // repeats the key elsewhere. Long past the deadline entry 0 resumes and finds
+  // that it holds the claim: a dispatch would bill a call nobody waits for.
   auto F = desks(twoZones("1"));
   F->table().setFaults(R"({"delay_ms":900})");
   std::int64_t Writes = numberAt(F->table().counters(), "writes");
@@ -129,7 +129,7 @@
   F->entry(0).Process_->resume();
   REQUIRE(outcome(Frozen.get()) == "not-run");
   REQUIRE(runs(*F, "k") == 0);
-  // The thawed entry frees the key.
+  // The resumed entry releases the key.
   eventually([&] { return outcome(invoice(F->entry(1), "k")) == "answered"; },
              "the key is free again");
   REQUIRE(runs(*F, "k") == 1);
@@ -158,7 +158,7 @@
     REQUIRE(outcome(R) == "not-run");
     REQUIRE(findHeader(R.Headers_, "Retry-After").has_value());
   }
-  // Calls that need no claim go on.
+  // Calls that need no claim are still served.
   REQUIRE(outcome(invoice(F->entry(0), "")) == "answered");
   F->table().setFaults("{}");
   HttpResponse Last;
@@ -185,12 +185,13 @@
   }
 }
 
-TEST_CASE("invoice, its connection cut at any frame, keeps to the truth") {
-  // A link breaks between two frames, in either direction, the call perhaps
-  // just run. The counters say what happened, and no answer may contradict.
+TEST_CASE("invoice, its connection cut at any frame, gets the true "
+          "outcome") {
+  // The connection breaks between two frames, in either direction; the call may
+  // just have run. No answer may contradict the counters of the service.
   auto Direction = GENERATE(as<std::string>{}, "up", "down");
   auto F = desks(twoZones("5").withProxies());
-  std::map<std::string, int> Said;
+  std::map<std::string, int> Outcomes;
   for (int Frames = 1; Frames <= 6; ++Frames) {
     for (FleetProcess &Each : F->agents())
       Each.PeerProxy_->setFaults(R"({"reset":true,"cut_after_frames":)"
@@ -202,9 +203,10 @@
     for (FleetProcess &Each : F->agents())
       Each.PeerProxy_->setFaults("{}");
     requireTruth(*F, Key, R);
-    ++Said[outcome(R)];
+    ++Outcomes[outcome(R)];
     CHECK_FALSE(outcome(R).empty());
   }
-  WARN("cut " << Direction << ": answered " << Said["answered"] << ", not-run "
-              << Said["not-run"] << ", unknown " << Said["unknown"]);
+  WARN("cut " << Direction << ": answered " << Outcomes["answered"]
+              << ", not-run " << Outcomes["not-run"] << ", unknown "
+              << Outcomes["unknown"]);
 }
--- a/tests/integration/EntryDrainTest.cpp
+++ b/tests/integration/EntryDrainTest.cpp
@@ -17,8 +17,8 @@
 TEST_CASE(
     "entry, stopped as planned, answers what is in progress and ends with "
     "code 0") {
-  // An entry VM is replaced while a client's invoice is being written: cut off
-  // here, the client would not know whether it was billed.
+  // An entry VM is replaced while a call that bills a client is in progress:
+  // cut off, the client would not know whether it was billed.
   auto F = slowDesk();
   auto Keyed = invoiceLater(F->entry(0), "k");
   auto Plain = invoiceLater(F->entry(0), "");
--- a/tests/integration/WholeAnswersTest.cpp
+++ b/tests/integration/WholeAnswersTest.cpp
@@ -37,7 +37,7 @@
         "the entry knows both endpoints");
   }
 
-  // What an engine that is asked directly says: an answer depends only on the
+  // The answer of an engine that is called directly; it depends only on the
   // version and the prompt.
   std::vector<std::string> expected(const std::string &Prompt) {
     HttpRequest R = completionRequest("/v1/completions", Prompt, Tokens, true);
@@ -57,11 +57,10 @@
 };
 } // namespace
 
-TEST_CASE(
-    "stream, its engine cut half-way, goes on elsewhere with no token lost "
-    "or twice") {
-  // A panel's copy breaks off in the middle of a sentence when the engine's
-  // process dies; the other endpoint of the version takes up at the next token.
+TEST_CASE("stream, its engine stopped half-way, resumes elsewhere "
+          "with no token lost or duplicated") {
+  // The engine's process dies in the middle of a stream; the other endpoint of
+  // the version resumes at the next token.
   StreamFixture S;
   std::vector<std::vector<std::string>> Expected;
   for (int I = 0; I < 6; ++I)
@@ -81,8 +80,8 @@
   REQUIRE(S.resumed() > 0);
 }
 
-TEST_CASE("stream, its agent killed half-way, goes on elsewhere with no token "
-          "lost or twice") {
+TEST_CASE("stream, its agent killed half-way, resumes elsewhere "
+          "with no token lost or duplicated") {
   StreamFixture S("25");
   std::vector<std::string> Expected = S.expected("the long way home");
   StreamCall Call(S.F_->entry(0).callers(), stream("the long way home"));
@@ -102,9 +101,8 @@
   REQUIRE(S.resumed() == 1);
 }
 
-TEST_CASE(
-    "stream, with no endpoint to go on at, ends in a clear error and never "
-    "as a short body") {
+TEST_CASE("stream, with no endpoint to resume at, ends in an "
+          "explicit error and never as a truncated body") {
   StreamFixture S;
   for (FleetProcess &Each : S.F_->agents())
     Each.Endpoint_->setFaults(R"({"die_after_tokens":3})");
--- a/tests/integration/WholePathTest.cpp
+++ b/tests/integration/WholePathTest.cpp
@@ -16,15 +16,15 @@
   return R;
 }
 
-// Whether the call is answered; throws with the refusal otherwise, so that a
-// wait in vain names it.
+// Returns true for a 200 and throws the refusal otherwise, so that the message
+// of a timed-out wait contains it.
 bool isAnswered(const HttpResponse &R) {
   if (R.Status_ == 200)
     return true;
   throw std::runtime_error(std::to_string(R.Status_) + " " + R.Body_);
 }
 
-// A small fleet with one version of weights applied and served.
+// A small fleet that serves one applied version of the weights.
 struct WholePathFixture {
   std::unique_ptr<Fleet> Fleet_ =
       FleetBuilder().modelVms(2).plainVms(1).build();
@@ -39,15 +39,15 @@
 
   std::string callers() { return Fleet_->entry(0).callers(); }
 
-  // What the first engine says when it is asked directly.
+  // The answer of the first engine when it is called directly.
   StreamResult expectedStream(const std::string &Prompt) {
     return fetchStream(
         Fleet_->agent(0).Endpoint_->address(),
         completionRequest("/v1/completions", Prompt, Tokens, true));
   }
 
-  // Calls until an endpoint is known to the entry: it learns of them a little
-  // after they are ready.
+  // Repeats the call until the entry knows an endpoint, which happens shortly
+  // after the endpoint is ready.
   HttpResponse callUntilAnswered(const HttpRequest &R) {
     HttpResponse Answer;
     eventually(
@@ -62,8 +62,8 @@
 } // namespace
 
 TEST_CASE_METHOD(WholePathFixture,
-                 "fleet, text applied, engines load exactly the weights of the "
-                 "origin",
+                 "fleet, configuration applied, engines load exactly the "
+                 "weights of the origin",
                  "[path]") {
   for (FleetProcess *Each : Fleet_->modelAgents()) {
     auto Record = getJson(Each->Endpoint_->address(), "/admin/record");
@@ -77,8 +77,8 @@
 }
 
 TEST_CASE_METHOD(WholePathFixture,
-                 "entry, completion of a customer, answers it whole with its "
-                 "version",
+                 "entry, completion of a customer, answers it completely "
+                 "with its version",
                  "[path]") {
   HttpRequest R =
       asCustomer(completionRequest(CompletionPath, "slogan", Tokens, false));
@@ -94,11 +94,11 @@
   CHECK(Answer.Body_ == Direct.Body_);
 }
 
-// A customer complains about one answer and names the id it came with; the
-// operator follows that id from the entry's log to the VM that ran it.
+// A customer reports a problem with an answer and its request id; the operator
+// traces the id from the log of the entry to the VM that ran the request.
 TEST_CASE_METHOD(WholePathFixture,
-                 "request, answered, stands with one id in the logs of its "
-                 "entry and its agent",
+                 "request, answered, appears with one id in the logs of "
+                 "its entry and its agent",
                  "[path]") {
   HttpResponse Answer = callUntilAnswered(
       asCustomer(completionRequest(CompletionPath, "slogan", Tokens, false)));
@@ -114,8 +114,8 @@
 }
 
 TEST_CASE_METHOD(WholePathFixture,
-                 "entry, streamed completion, passes every event of the engine "
-                 "and ends whole",
+                 "entry, streamed completion, passes every event of the "
+                 "engine and ends complete",
                  "[path]") {
   callUntilAnswered(
       asCustomer(completionRequest(CompletionPath, "warm", 1, false)));
@@ -163,10 +163,10 @@
 TEST_CASE("fleet in two zones, one cut off with its platform and healed, "
           "serves in both and ends on one revision",
           "[path]") {
-  // A user sees: while a zone's uplink is down its shelters go on being served
-  // from the last accepted text, and after the repair the change made meanwhile
-  // is in force there too. Order: both zones serve; zone-b loses the other zone
-  // and the platform; operators change the text; the uplink returns.
+  // While the uplink of a zone is down, the zone keeps serving with the last
+  // accepted configuration; after the repair it gets the change made meanwhile.
+  // Order: both zones serve; zone-b loses the other zone and the platform;
+  // operators change the configuration; the uplink returns.
   auto F = FleetBuilder()
                .zones({"zone-a", "zone-b"})
                .modelVms(2)
@@ -192,7 +192,7 @@
   Text["customers"].as_object()["zet"] = {{"weight", 2}};
   REQUIRE(F->apply(Text).ExitCode_ == 0);
   eventually([&] { return RevisionAt(0) == "2"; }, "zone-a has the change");
-  // Long enough for gossip to have brought the change, had there been a way.
+  // Long enough for gossip to deliver the change, if a path existed.
   eventually(
       [&] {
         return memberState(F->entry(0), "zone-b-entry-0") == "dead" &&
--- a/tests/unit/AttemptTableTest.cpp
+++ b/tests/unit/AttemptTableTest.cpp
@@ -425,7 +425,7 @@
     Past.addRefused(id(N), AttemptRefusal::Draining, Now);
   Past.addRan(id(3), Now);
   REQUIRE(Past.size() == 2);
-  REQUIRE(Past.forgottenEarly() == 1);
+  REQUIRE(Past.evictedEarly() == 1);
   REQUIRE_FALSE(Past.find(id(1)).has_value());
   REQUIRE(Past.find(id(3))->Refusal_ == AttemptRefusal::Draining);
   Past.expire(Now + Seconds(60));
--- a/tests/unit/ClaimCoreTest.cpp
+++ b/tests/unit/ClaimCoreTest.cpp
@@ -7,9 +7,9 @@
 using namespace hawthornroad;
 
 namespace {
-using Kind = ClaimAnswer::Kind;
+using Kind = ClaimCallResult::Kind;
 
-// The platform's table as far as claims see it.
+// A model of the platform's table, limited to what claims use.
 struct TableModel {
   struct Row {
     std::string Value_;
@@ -18,8 +18,8 @@
   std::map<std::string, Row> Rows_;
   std::uint64_t Next_ = 1;
 
-  ClaimAnswer apply(const ClaimWrite &W) {
-    ClaimAnswer A{W.Request_, W.Call_, Kind::Conflict, "", ""};
+  ClaimCallResult apply(const ClaimWrite &W) {
+    ClaimCallResult A{W.Request_, W.Call_, Kind::Conflict, "", ""};
     auto Found = Rows_.find(W.Key_);
     bool Holds = Found == Rows_.end()
                      ? W.Etag_.empty()
@@ -31,8 +31,8 @@
     A.Etag_ = std::to_string(Next_++);
     return A;
   }
-  ClaimAnswer apply(const ClaimRead &R) const {
-    ClaimAnswer A{R.Request_, R.Call_, Kind::Missing, "", ""};
+  ClaimCallResult apply(const ClaimRead &R) const {
+    ClaimCallResult A{R.Request_, R.Call_, Kind::Missing, "", ""};
     auto Found = Rows_.find(R.Key_);
     if (Found == Rows_.end())
       return A;
@@ -47,7 +47,7 @@
   }
 };
 
-// One entry's claims, with its calls to the table held until told.
+// The claims of one entry; its table calls are queued until they are served.
 struct Holder {
   explicit Holder(Incarnation I)
       : Core_(
@@ -58,8 +58,8 @@
 
   void note(const ClaimCore::Actions &Actions) {
     for (const ClaimAction &Each : Actions) {
-      if (const auto *Word = std::get_if<ClaimWord>(&Each))
-        Words_.push_back(*Word);
+      if (const auto *Verdict = std::get_if<ClaimVerdict>(&Each))
+        Verdicts_.push_back(*Verdict);
       else
         Calls_.push_back(Each);
     }
@@ -70,31 +70,32 @@
     Calls_.pop_front();
     return Call;
   }
-  // Carries out the next call; its answer comes, or is lost on the way.
+  // Executes the next call and delivers its result, or loses the reply.
   void serve(TableModel &Table, TimePoint Now, bool Lose = false) {
     ClaimAction Call = nextCall();
-    ClaimAnswer A = std::holds_alternative<ClaimWrite>(Call)
-                        ? Table.apply(std::get<ClaimWrite>(Call))
-                        : Table.apply(std::get<ClaimRead>(Call));
+    ClaimCallResult A = std::holds_alternative<ClaimWrite>(Call)
+                            ? Table.apply(std::get<ClaimWrite>(Call))
+                            : Table.apply(std::get<ClaimRead>(Call));
     if (Lose)
       A.Kind_ = Kind::Unanswered;
-    note(Core_.tableAnswer(A, Now));
+    note(Core_.tableCallEnded(A, Now));
   }
   void serveAll(TableModel &Table, TimePoint Now) {
     while (!Calls_.empty())
       serve(Table, Now);
   }
   bool hasWon() const {
-    return !Words_.empty() && std::holds_alternative<ClaimWon>(Words_.back());
+    return !Verdicts_.empty() &&
+           std::holds_alternative<ClaimWon>(Verdicts_.back());
   }
   Problem problem() const {
-    REQUIRE_FALSE(Words_.empty());
-    return std::get<ClaimDenied>(Words_.back()).Problem_;
+    REQUIRE_FALSE(Verdicts_.empty());
+    return std::get<ClaimDenied>(Verdicts_.back()).Problem_;
   }
 
   ClaimCore Core_;
   std::deque<ClaimAction> Calls_;
-  std::vector<ClaimWord> Words_;
+  std::vector<ClaimVerdict> Verdicts_;
 };
 
 struct ClaimFixture {
@@ -150,8 +151,9 @@
   REQUIRE_FALSE(parseClaim("{}").has_value());
 }
 
-TEST_CASE_METHOD(ClaimFixture, "claims, of one key at two entries at once, are "
-                               "won by one only") {
+TEST_CASE_METHOD(ClaimFixture,
+                 "claims, of one key at two entries at once, are won by "
+                 "only one") {
   SharedRequest A = request();
   SharedRequest B = request();
   One_.note(One_.Core_.start(A, Now_));
@@ -163,10 +165,12 @@
   REQUIRE(One_.problem().RetryAfter_ > Duration::zero());
 }
 
-TEST_CASE_METHOD(ClaimFixture, "claim, its write's answer lost, is won by "
-                               "reading its own token back") {
-  // The table took the write and the connection was cut. Taken for a failure,
-  // the caller would be told not-run and its repeat would find "in progress".
+TEST_CASE_METHOD(ClaimFixture,
+                 "claim, the reply to its write lost, is won by reading "
+                 "its own token back") {
+  // The table applied the write, but the connection was cut before the reply.
+  // Treated as a failure, the caller would get not-run and its repeat would
+  // find "in progress".
   One_.note(One_.Core_.start(request(), Now_));
   One_.serve(Table_, Now_, true);
   REQUIRE_FALSE(One_.hasWon());
@@ -175,7 +179,7 @@
 }
 
 TEST_CASE_METHOD(ClaimFixture,
-                 "repeat of an answered key gets the kept answer, "
+                 "repeat of an answered key gets the stored answer, "
                  "another body is refused") {
   SharedRequest A = request();
   win(One_, A);
@@ -183,7 +187,7 @@
   settle(One_, A, Outcome::Answered, Kept);
   Two_.note(Two_.Core_.start(request(), Now_));
   Two_.serveAll(Table_, Now_);
-  REQUIRE(std::get<ClaimReplay>(Two_.Words_.back()).Answer_ == Kept);
+  REQUIRE(std::get<ClaimReplay>(Two_.Verdicts_.back()).Answer_ == Kept);
   Two_.note(Two_.Core_.start(request("{\"other\":1}"), Now_));
   Two_.serveAll(Table_, Now_);
   REQUIRE(Two_.problem().Status_ == 422);
@@ -205,7 +209,7 @@
 }
 
 TEST_CASE_METHOD(ClaimFixture,
-                 "claim settled not-run is taken over by one only") {
+                 "claim settled not-run is taken over by only one") {
   SharedRequest A = request();
   win(One_, A);
   settle(One_, A, Outcome::NotRun);
@@ -223,18 +227,18 @@
 }
 
 TEST_CASE_METHOD(ClaimFixture,
-                 "holder frozen past the keeping time does not act "
-                 "on a claim that was taken over") {
-  // Entry 1 freezes between its write and the answer to it. Two days later the
-  // record has expired and entry 2 has taken it over; then entry 1 thaws and
-  // finds the answer "written" in its socket.
+                 "holder frozen past the retention period does not act on "
+                 "a claim that was taken over") {
+  // Entry 1 is frozen between its write and the reply. Two days later the
+  // record has expired and entry 2 has taken it over; then entry 1 resumes and
+  // reads the reply "written" from its socket.
   One_.note(One_.Core_.start(request(), Now_));
-  ClaimAnswer Old = Table_.apply(std::get<ClaimWrite>(One_.nextCall()));
+  ClaimCallResult Old = Table_.apply(std::get<ClaimWrite>(One_.nextCall()));
   Now_ += Seconds(2 * 86400);
   Two_.note(Two_.Core_.start(request(), Now_));
   Two_.serveAll(Table_, Now_);
   REQUIRE(Two_.hasWon());
-  One_.note(One_.Core_.tableAnswer(Old, Now_));
+  One_.note(One_.Core_.tableCallEnded(Old, Now_));
   REQUIRE_FALSE(One_.hasWon());
   One_.serveAll(Table_, Now_);
   REQUIRE_FALSE(One_.hasWon());
@@ -243,7 +247,7 @@
 
 TEST_CASE_METHOD(ClaimFixture, "claim refused in an outage is set to not-run "
                                "afterwards, wherever its write got to") {
-  // The caller was told not-run; a repeat must not find "in progress" for ever.
+  // The caller got not-run; a repeat must not find "in progress" for ever.
   SharedRequest A = request();
   One_.note(One_.Core_.start(A, Now_));
   ClaimAction Write = One_.nextCall();
@@ -255,7 +259,7 @@
   REQUIRE(One_.problem().RetryAfter_ > Duration::zero());
   pass(One_, Seconds(3));
   One_.serveAll(Table_, Now_);
-  // Landing only now, it must find its condition gone.
+  // The delayed write must fail its condition.
   if (!LandsBefore)
     REQUIRE(Table_.apply(std::get<ClaimWrite>(Write)).Kind_ == Kind::Conflict);
   REQUIRE(Table_.phase() == ClaimPhase::NotRun);
@@ -274,8 +278,8 @@
       REQUIRE(One_.Calls_.empty());
     } else {
       std::uint64_t Call = std::get<ClaimWrite>(One_.nextCall()).Call_;
-      One_.note(
-          One_.Core_.tableAnswer({R->Id_, Call, Kind::Unsent, "", ""}, Now_));
+      One_.note(One_.Core_.tableCallEnded({R->Id_, Call, Kind::Unsent, "", ""},
+                                          Now_));
     }
     REQUIRE(One_.problem().Cause_ == "table_unavailable");
     REQUIRE(One_.Core_.open() == 0);
@@ -285,8 +289,9 @@
   REQUIRE(One_.Calls_.size() == 1);
 }
 
-TEST_CASE_METHOD(ClaimFixture, "outcome, its write's answer lost, is written "
-                               "until it stands") {
+TEST_CASE_METHOD(ClaimFixture,
+                 "outcome, the reply to its write lost, is written again "
+                 "until it is stored") {
   SharedRequest A = request();
   win(One_, A);
   One_.note(One_.Core_.settle({A->Id_, Outcome::Unknown, std::nullopt}, Now_));
@@ -297,14 +302,14 @@
   REQUIRE(One_.Core_.open() == 0);
 }
 
-// Two holders and a table whose answers are lost, late or old, in any order:
-// the key is never held by both, and a claim told not-run was not won.
-TEST_CASE("claims, under random answers, are never won twice") {
+// Two holders and a table whose replies are lost, late or stale, in any order:
+// the key is never held by both, and a claim reported as not-run was not won.
+TEST_CASE("claims, under random replies, are never won twice") {
   for (std::uint64_t Seed = 1; Seed <= 500; ++Seed) {
     ClaimFixture F;
     Random Rng(Seed);
     std::vector<TableModel> History;
-    std::vector<ClaimAction> Late;
+    std::vector<ClaimAction> LateWrites;
     std::size_t Started = 0;
     for (int Step = 0; Step < 40; ++Step) {
       Holder &H = Rng.below(2) ? F.One_ : F.Two_;
@@ -314,37 +319,37 @@
         ++Started;
       }
       F.pass(H, Milliseconds(Rng.below(900)));
-      if (!Late.empty() && Rng.below(4) == 0) {
-        // A write of long ago lands at last; nobody hears of it.
-        if (const auto *W = std::get_if<ClaimWrite>(&Late.back()))
+      if (!LateWrites.empty() && Rng.below(4) == 0) {
+        // A delayed write takes effect; its reply reaches nobody.
+        if (const auto *W = std::get_if<ClaimWrite>(&LateWrites.back()))
           F.Table_.apply(*W);
-        Late.pop_back();
+        LateWrites.pop_back();
       }
       if (H.Calls_.empty())
         continue;
       ClaimAction Call = H.nextCall();
       if (const auto *R = std::get_if<ClaimRead>(&Call)) {
-        bool Old = Rng.below(4) == 0;
+        bool IsStale = Rng.below(4) == 0;
         const TableModel &From =
-            Old ? History[Rng.below(History.size())] : F.Table_;
-        H.note(H.Core_.tableAnswer(From.apply(*R), F.Now_));
+            IsStale ? History[Rng.below(History.size())] : F.Table_;
+        H.note(H.Core_.tableCallEnded(From.apply(*R), F.Now_));
         continue;
       }
       const auto &W = std::get<ClaimWrite>(Call);
       if (Rng.below(4) == 0) {
-        Late.push_back(Call);
-        H.note(H.Core_.tableAnswer(
+        LateWrites.push_back(Call);
+        H.note(H.Core_.tableCallEnded(
             {W.Request_, W.Call_, Kind::Unanswered, "", ""}, F.Now_));
         continue;
       }
-      ClaimAnswer A = F.Table_.apply(W);
+      ClaimCallResult A = F.Table_.apply(W);
       if (Rng.below(4) == 0)
         A.Kind_ = Kind::Unanswered;
-      H.note(H.Core_.tableAnswer(A, F.Now_));
+      H.note(H.Core_.tableCallEnded(A, F.Now_));
     }
     std::size_t Won = 0;
     for (const Holder *H : {&F.One_, &F.Two_})
-      for (const ClaimWord &Each : H->Words_)
+      for (const ClaimVerdict &Each : H->Verdicts_)
         Won += std::holds_alternative<ClaimWon>(Each) ? 1 : 0;
     INFO("seed " << Seed);
     REQUIRE(Won <= 1);
--- a/tests/unit/RequestCoreTest.cpp
+++ b/tests/unit/RequestCoreTest.cpp
@@ -8,8 +8,8 @@
 using namespace hawthornroad;
 
 namespace {
-constexpr Incarnation AgentLife = 7;
-constexpr Incarnation NextLife = 8;
+constexpr Incarnation AgentIncarnation = 7;
+constexpr Incarnation NextIncarnation = 8;
 const VersionDigest VersionOne("sha256:one");
 const VersionDigest VersionTwo("sha256:two");
 
@@ -27,7 +27,7 @@
   return DeclarationBuilder().add(Zone).add(Plain).add(Limits).build();
 }
 
-// A core with two ready endpoints, and what it asked for.
+// A core with two ready endpoints, and the actions it returned.
 struct CoreFixture {
   TimePoint Now_{Seconds(1000)};
   Admission Admission_{Random(1)};
@@ -49,7 +49,7 @@
   void addEndpoint(const std::string &Name, const VersionDigest &Version) {
     EndpointStatus S;
     S.Vm_ = Vm(Name);
-    S.Incarnation_ = AgentLife;
+    S.Incarnation_ = AgentIncarnation;
     S.Sequence_ = 1;
     S.Address_ = PeerAddress(Name + ":1");
     S.Zone_ = AvailabilityZone("zg-borongaj");
@@ -95,13 +95,14 @@
     note(Core_.arrived(std::move(R), Now_));
     return last<BeginAttempt>();
   }
-  void word(const AttemptWord &W) { note(Core_.attemptWord(W, Now_)); }
+  void receive(const AttemptUpdate &W) { note(Core_.attemptUpdated(W, Now_)); }
   void pass(Duration D) {
     Now_ += D;
     note(Core_.tick(Now_));
   }
 
-  static AttemptSource from(const BeginAttempt &B, Incarnation I = AgentLife) {
+  static AttemptSource from(const BeginAttempt &B,
+                            Incarnation I = AgentIncarnation) {
     return {B.Attempt_, I};
   }
   static AttemptHead head(const BeginAttempt &B, bool Events = false) {
@@ -116,11 +117,11 @@
     return {from(B), Body.size(), Hash.value()};
   }
   void answer(const BeginAttempt &B, const std::string &Body) {
-    word(head(B));
-    word(AttemptData{from(B), 0, Body});
-    word(end(B, Body));
+    receive(head(B));
+    receive(AttemptData{from(B), 0, Body});
+    receive(end(B, Body));
   }
-  // The connection of B was lost after (or, when Never, before) its begin.
+  // Loses the connection of B after its begin or, when Never, before it.
   void lose(const BeginAttempt &B, bool Never, std::uint64_t UpTo) {
     note(Core_.connectionLost({B.Address_, Never, UpTo, "lost"}, Now_));
   }
@@ -128,8 +129,8 @@
 } // namespace
 
 TEST_CASE_METHOD(CoreFixture,
-                 "request, answered whole, passes the whole answer "
-                 "once and is forgotten") {
+                 "request, answered completely, passes the complete "
+                 "answer once and is erased") {
   BeginAttempt B = begin(request(true));
   answer(B, "hello");
   REQUIRE(last<RespondWhole>().Body_ == "hello");
@@ -140,38 +141,38 @@
 }
 
 TEST_CASE_METHOD(CoreFixture,
-                 "answer, with frames doubled and out of order, is "
-                 "passed whole and in order") {
-  // A caller would see a mixed body: frames sent again after a question
-  // overlap those still under way on the old connection.
+                 "answer, with frames duplicated and out of order, is "
+                 "passed complete and in order") {
+  // Frames sent again after a query overlap those still in flight on the old
+  // connection; without ordering the caller would get a mixed body.
   BeginAttempt B = begin(request(true));
-  word(head(B));
-  word(AttemptData{from(B), 3, "def"});
-  word(end(B, "abcdef"));
-  word(AttemptData{from(B), 0, "ab"});
-  word(AttemptData{from(B), 1, "bc"});
+  receive(head(B));
+  receive(AttemptData{from(B), 3, "def"});
+  receive(end(B, "abcdef"));
+  receive(AttemptData{from(B), 0, "ab"});
+  receive(AttemptData{from(B), 1, "bc"});
   REQUIRE(last<RespondWhole>().Body_ == "abcdef");
 }
 
-TEST_CASE_METHOD(CoreFixture, "answer, whose hash disagrees, is never passed") {
+TEST_CASE_METHOD(CoreFixture, "answer, with a wrong hash, is never passed") {
   BeginAttempt B = begin(request(false));
-  word(head(B));
-  word(AttemptData{from(B), 0, "abc"});
-  word(end(B, "abd"));
+  receive(head(B));
+  receive(AttemptData{from(B), 0, "abc"});
+  receive(end(B, "abd"));
   REQUIRE(all<RespondWhole>().empty());
   REQUIRE(last<RespondProblem>().Problem_.Outcome_ == Outcome::Unknown);
 }
 
 TEST_CASE_METHOD(CoreFixture, "late frame, of an attempt given up, is dropped "
                               "and its engine told to stop") {
-  // Endpoint 1 fails, endpoint 2 answers, then the frames of 1 arrive: they
-  // must not reach the caller.
+  // Endpoint 1 fails, endpoint 2 answers, then frames of endpoint 1 arrive:
+  // they must not reach the caller.
   BeginAttempt First = begin(request(true));
-  word(AttemptFailed{from(First), false, "run", "engine", "cut"});
+  receive(AttemptFailed{from(First), false, "run", "engine", "cut"});
   BeginAttempt Second = last<BeginAttempt>();
   REQUIRE(Second.Attempt_ != First.Attempt_);
   REQUIRE(Second.Address_ != First.Address_);
-  word(AttemptData{from(First), 0, "old"});
+  receive(AttemptData{from(First), 0, "old"});
   REQUIRE(last<CancelAttempt>().Attempt_ == First.Attempt_);
   answer(Second, "new");
   REQUIRE(last<RespondWhole>().Body_ == "new");
@@ -180,7 +181,7 @@
 TEST_CASE_METHOD(CoreFixture, "non-repeatable request, its attempt failed, is "
                               "never sent again and is unknown") {
   BeginAttempt B = begin(request(false));
-  word(AttemptFailed{from(B), false, "run", "service", "cut"});
+  receive(AttemptFailed{from(B), false, "run", "service", "cut"});
   REQUIRE(all<BeginAttempt>().size() == 1);
   REQUIRE(last<RespondProblem>().Problem_.Outcome_ == Outcome::Unknown);
 }
@@ -188,29 +189,30 @@
 TEST_CASE_METHOD(CoreFixture, "non-repeatable request, refused by the agent, "
                               "goes to another endpoint") {
   BeginAttempt B = begin(request(false));
-  word(AttemptRefused{from(B), "draining", {}});
+  receive(AttemptRefused{from(B), "draining", {}});
   REQUIRE(all<BeginAttempt>().size() == 2);
   REQUIRE(last<BeginAttempt>().Address_ != B.Address_);
 }
 
 TEST_CASE_METHOD(CoreFixture, "request, refused everywhere, is not-run with a "
                               "time to come back") {
-  word(AttemptRefused{from(begin(request(false))), "draining", {}});
-  word(AttemptRefused{from(last<BeginAttempt>()), "draining", {}});
+  receive(AttemptRefused{from(begin(request(false))), "draining", {}});
+  receive(AttemptRefused{from(last<BeginAttempt>()), "draining", {}});
   Problem P = last<RespondProblem>().Problem_;
   REQUIRE(P.Outcome_ == Outcome::NotRun);
   REQUIRE(P.RetryAfter_ > Duration::zero());
   REQUIRE(P.Status_ == 503);
 }
 
-// Every endpoint is full for a moment. Sent again outside the queue, the
-// request would take the place of one that has waited longer; refused, it would
-// come back as more load.
-TEST_CASE_METHOD(CoreFixture, "request, its endpoints full, waits and goes out "
-                              "when they take work again") {
-  Chooser_.remove(Vm("desk-2"), AgentLife);
+// Every endpoint is full for a moment. Retried outside the queue, the request
+// would take the slot of one that has waited longer; refused, it would return
+// as more load.
+TEST_CASE_METHOD(CoreFixture,
+                 "request, its endpoints full, waits and is dispatched "
+                 "when they accept work again") {
+  Chooser_.remove(Vm("desk-2"), AgentIncarnation);
   BeginAttempt B = begin(request(true));
-  word(AttemptRefused{from(B), "overloaded", {}});
+  receive(AttemptRefused{from(B), "overloaded", {}});
   REQUIRE(all<BeginAttempt>().size() == 1);
   REQUIRE(all<RespondProblem>().empty());
   REQUIRE(Admission_.waiting(ServiceName("billing-desk")) == 1);
@@ -220,15 +222,16 @@
   REQUIRE(last<RespondWhole>().Body_ == "late but whole");
 }
 
-// An endpoint refuses again and again: each dispatch after the first takes from
-// the retry budget, and without one the caller is told at once.
-TEST_CASE_METHOD(CoreFixture, "request, turned away with the retry budget "
-                              "spent, is refused and did not run") {
-  Chooser_.remove(Vm("desk-2"), AgentLife);
+// An endpoint refuses repeatedly: each dispatch after the first takes from the
+// retry budget; when that is used up, the caller is answered at once.
+TEST_CASE_METHOD(CoreFixture,
+                 "request, refused by its endpoint with the retry budget "
+                 "used up, is answered not-run") {
+  Chooser_.remove(Vm("desk-2"), AgentIncarnation);
   BeginAttempt B = begin(request(true));
   while (Budget_.take(ServiceName("billing-desk"), Now_))
     ;
-  word(AttemptRefused{from(B), "overloaded", {}});
+  receive(AttemptRefused{from(B), "overloaded", {}});
   for (int I = 0; I < 40 && all<RespondProblem>().empty(); ++I) {
     while (Budget_.take(ServiceName("billing-desk"), Now_))
       ;
@@ -241,17 +244,19 @@
 }
 
 TEST_CASE_METHOD(CoreFixture,
-                 "begin, on a connection never made, did not run") {
+                 "begin, on a connection that was never established, did "
+                 "not run") {
   BeginAttempt B = begin(request(false));
   lose(B, true, B.Number_);
   REQUIRE(all<BeginAttempt>().size() == 2);
 }
 
-TEST_CASE_METHOD(CoreFixture, "begin, put on a connection after one that was "
-                              "never made, stays where it is") {
-  // Two threads: the dial fails, and before that is told, a second begin goes
-  // out on a new connection and runs. Taking the failed dial for its own would
-  // run it twice.
+TEST_CASE_METHOD(CoreFixture,
+                 "begin, sent on a connection after one that was never "
+                 "established, stays where it is") {
+  // Two threads: opening a connection fails and, before that is reported, a
+  // second begin is sent on a new connection and runs. Counting the failure as
+  // its own would run the call twice.
   BeginAttempt B = begin(request(false));
   lose(B, true, B.Number_ - 1);
   REQUIRE(all<BeginAttempt>().size() == 1);
@@ -260,47 +265,49 @@
 }
 
 TEST_CASE_METHOD(CoreFixture,
-                 "lost connection, of a non-repeatable request, is "
-                 "asked after and the answer goes on") {
+                 "lost connection, of a non-repeatable request, leads to "
+                 "a query and the answer continues") {
   BeginAttempt B = begin(request(false));
-  word(head(B));
-  word(AttemptData{from(B), 0, "ab"});
+  receive(head(B));
+  receive(AttemptData{from(B), 0, "ab"});
   lose(B, false, B.Number_);
-  REQUIRE(last<AskAttempt>().Offset_ == 2);
-  word(AttemptState{from(B), AttemptState::Phase::Finished});
-  word(AttemptData{from(B), 2, "cd"});
-  word(end(B, "abcd"));
+  REQUIRE(last<QueryAttempt>().Offset_ == 2);
+  receive(AttemptState{from(B), AttemptState::Phase::Finished});
+  receive(AttemptData{from(B), 2, "cd"});
+  receive(end(B, "abcd"));
   REQUIRE(last<RespondWhole>().Body_ == "abcd");
   REQUIRE(all<BeginAttempt>().size() == 1);
 }
 
-TEST_CASE_METHOD(CoreFixture, "never seen, said by the process that was meant, "
-                              "is a not-run statement") {
+TEST_CASE_METHOD(CoreFixture,
+                 "never seen, reported by the addressed process, confirms "
+                 "that the attempt did not run") {
   BeginAttempt B = begin(request(false));
   lose(B, false, B.Number_);
-  word(AttemptState{from(B), AttemptState::Phase::NeverSeen});
+  receive(AttemptState{from(B), AttemptState::Phase::NeverSeen});
   REQUIRE(all<BeginAttempt>().size() == 2);
 }
 
 TEST_CASE_METHOD(CoreFixture,
-                 "never seen, said by the process after it, leaves "
+                 "never seen, reported by the successor process, leaves "
                  "the outcome unknown") {
-  // The agent took the call, died and was replaced. The new process knows
-  // nothing of it: sending the call again would run it twice.
+  // The agent accepted the call, died and was replaced. The new process has no
+  // record of the call; sending it again would run it twice.
   BeginAttempt B = begin(request(false));
   lose(B, false, B.Number_);
-  word(AttemptState{from(B, NextLife), AttemptState::Phase::NeverSeen});
+  receive(
+      AttemptState{from(B, NextIncarnation), AttemptState::Phase::NeverSeen});
   REQUIRE(all<BeginAttempt>().size() == 1);
   REQUIRE(last<RespondProblem>().Problem_.Outcome_ == Outcome::Unknown);
 }
 
 TEST_CASE_METHOD(CoreFixture,
-                 "never seen, said after the attempt was accepted, "
+                 "never seen, reported after the attempt was accepted, "
                  "leaves the outcome unknown") {
   BeginAttempt B = begin(request(false));
-  word(AttemptAccepted{from(B)});
+  receive(AttemptAccepted{from(B)});
   lose(B, false, B.Number_);
-  word(AttemptState{from(B), AttemptState::Phase::NeverSeen});
+  receive(AttemptState{from(B), AttemptState::Phase::NeverSeen});
   REQUIRE(all<BeginAttempt>().size() == 1);
   REQUIRE(last<RespondProblem>().Problem_.Outcome_ == Outcome::Unknown);
 }
@@ -311,50 +318,53 @@
   BeginAttempt B = begin(request(false));
   note(Core_.endpointGone(B.Address_ == PeerAddress("desk-1:1") ? Vm("desk-1")
                                                                 : Vm("desk-2"),
-                          AgentLife, Now_));
+                          AgentIncarnation, Now_));
   REQUIRE(last<RespondProblem>().Problem_.Outcome_ == Outcome::Unknown);
 }
 
-TEST_CASE_METHOD(CoreFixture, "silent attempt is asked after twice, the second "
-                              "time over a fresh connection") {
-  // A middlebox forgot the connection: TCP would retransmit for minutes.
+TEST_CASE_METHOD(CoreFixture,
+                 "silent attempt is queried twice, the second time over a "
+                 "new connection") {
+  // A middlebox dropped the connection: TCP would retransmit for minutes.
   BeginAttempt B = begin(request(true));
   pass(Milliseconds(1000));
-  REQUIRE_FALSE(last<AskAttempt>().Fresh_);
+  REQUIRE_FALSE(last<QueryAttempt>().NewConnection_);
   pass(Milliseconds(500));
-  REQUIRE(last<AskAttempt>().Fresh_);
-  word(AttemptState{from(B), AttemptState::Phase::Running});
+  REQUIRE(last<QueryAttempt>().NewConnection_);
+  receive(AttemptState{from(B), AttemptState::Phase::Running});
   answer(B, "x");
   REQUIRE(last<RespondWhole>().Body_ == "x");
 }
 
-TEST_CASE_METHOD(CoreFixture, "two silent attempts at one endpoint dial anew "
-                              "once per idle limit") {
-  // Each fresh dial replaces the connection of the others: without the limit
-  // they would cut each other's questions for ever.
-  Chooser_.remove(Vm("desk-2"), AgentLife);
+TEST_CASE_METHOD(CoreFixture,
+                 "two silent attempts at one endpoint open one new "
+                 "connection per idle limit") {
+  // Each new connection replaces that of the other attempt: without the limit
+  // they would interrupt each other's queries for ever.
+  Chooser_.remove(Vm("desk-2"), AgentIncarnation);
   begin(request(true));
   begin(request(true));
   pass(Milliseconds(1000));
   pass(Milliseconds(500));
-  std::size_t Fresh = 0;
-  for (const AskAttempt &Each : all<AskAttempt>())
-    Fresh += Each.Fresh_ ? 1 : 0;
-  REQUIRE(Fresh == 1);
+  std::size_t NewConnections = 0;
+  for (const QueryAttempt &Each : all<QueryAttempt>())
+    NewConnections += Each.NewConnection_ ? 1 : 0;
+  REQUIRE(NewConnections == 1);
 }
 
-TEST_CASE_METHOD(CoreFixture, "event stream, cut half-way, goes on at another "
-                              "endpoint of its version") {
+TEST_CASE_METHOD(CoreFixture,
+                 "event stream, interrupted half-way, resumes at another "
+                 "endpoint of its version") {
   BeginAttempt B = begin(request(true));
-  word(head(B, true));
-  word(AttemptData{from(B), 0, "data: 1\n\ndata: 2\n\ndata: 3"});
-  word(AttemptFailed{from(B), false, "run", "engine", "cut"});
+  receive(head(B, true));
+  receive(AttemptData{from(B), 0, "data: 1\n\ndata: 2\n\ndata: 3"});
+  receive(AttemptFailed{from(B), false, "run", "engine", "cut"});
   BeginAttempt Next = last<BeginAttempt>();
   REQUIRE(Next.ResumeEvents_ == 2);
-  word(head(Next, true));
+  receive(head(Next, true));
   std::string Rest = "data: 3\n\ndata: [DONE]\n\n";
-  word(AttemptData{from(Next), 0, Rest});
-  word(end(Next, Rest));
+  receive(AttemptData{from(Next), 0, Rest});
+  receive(end(Next, Rest));
   std::string Body;
   for (const StreamBytes &Each : all<StreamBytes>())
     Body += Each.Bytes_;
@@ -363,35 +373,37 @@
   REQUIRE(all<StreamAbort>().empty());
 }
 
-TEST_CASE_METHOD(CoreFixture, "event stream, with no endpoint of its version "
-                              "left, ends in an error and not short") {
-  // During a rollout the only other endpoint serves the next version: mixing
-  // the two would put two models' words in one answer.
+TEST_CASE_METHOD(CoreFixture,
+                 "event stream, with no endpoint of its version left, "
+                 "ends in an error and is not truncated") {
+  // During a rollout the only other endpoint serves the next version; mixing
+  // them would put the output of two models into one answer.
   addEndpoint("desk-3", VersionTwo);
   BeginAttempt B = begin(request(true));
   if (B.Version_ == VersionTwo)
     return;
-  word(head(B, true));
-  word(AttemptData{from(B), 0, "data: 1\n\n"});
+  receive(head(B, true));
+  receive(AttemptData{from(B), 0, "data: 1\n\n"});
   for (const char *Name : {"desk-1", "desk-2"})
-    note(Core_.endpointGone(Vm(Name), AgentLife, Now_));
-  Chooser_.remove(Vm("desk-1"), AgentLife);
-  Chooser_.remove(Vm("desk-2"), AgentLife);
+    note(Core_.endpointGone(Vm(Name), AgentIncarnation, Now_));
+  Chooser_.remove(Vm("desk-1"), AgentIncarnation);
+  Chooser_.remove(Vm("desk-2"), AgentIncarnation);
   while (all<StreamAbort>().empty())
-    word(AttemptFailed{from(last<BeginAttempt>()), false, "run", "", "cut"});
+    receive(AttemptFailed{from(last<BeginAttempt>()), false, "run", "", "cut"});
   REQUIRE(last<StreamAbort>().IsEvents_);
   REQUIRE(all<StreamFinish>().empty());
   for (const BeginAttempt &Each : all<BeginAttempt>())
     REQUIRE(Each.Version_ == VersionOne);
 }
 
-TEST_CASE_METHOD(CoreFixture, "deadline, of a claimed request, is told at once "
-                              "and its late answer kept with the claim") {
+TEST_CASE_METHOD(CoreFixture,
+                 "deadline, of a claimed request, is reported at once and "
+                 "the late answer is stored with the claim") {
   SharedRequest R = request(false, "key-1");
   note(Core_.arrived(R, Now_));
   REQUIRE(all<StartClaim>().size() == 1);
   REQUIRE(all<BeginAttempt>().empty());
-  note(Core_.claimWord(ClaimWon{R->Id_}, Now_));
+  note(Core_.claimDecided(ClaimWon{R->Id_}, Now_));
   BeginAttempt B = last<BeginAttempt>();
   pass(Seconds(10));
   REQUIRE(last<RespondProblem>().Problem_.Outcome_ == Outcome::Unknown);
@@ -404,12 +416,12 @@
 
 TEST_CASE_METHOD(CoreFixture,
                  "claim, won after the deadline, is not acted on") {
-  // The entry was frozen between the claim's write and its answer; its caller
-  // has long gone elsewhere.
+  // The entry was frozen between the write of the claim and its reply; its
+  // caller has left long ago.
   SharedRequest R = request(false, "key-1");
   note(Core_.arrived(R, Now_));
   Now_ += Seconds(60);
-  note(Core_.claimWord(ClaimWon{R->Id_}, Now_));
+  note(Core_.claimDecided(ClaimWon{R->Id_}, Now_));
   REQUIRE(all<BeginAttempt>().empty());
   REQUIRE(last<RespondProblem>().Problem_.Outcome_ == Outcome::NotRun);
   REQUIRE(last<SettleClaim>().Outcome_ == Outcome::NotRun);
@@ -432,20 +444,20 @@
                               "acknowledgements") {
   SharedRequest R = request(true);
   BeginAttempt B = begin(R);
-  word(head(B));
-  std::string Much(2 * 1024 * 1024, 'x');
+  receive(head(B));
+  std::string LargeBody(2 * 1024 * 1024, 'x');
   note(Core_.callerBacklog(R->Id_, 8 * 1024 * 1024, Now_));
-  word(AttemptData{from(B), 0, Much});
+  receive(AttemptData{from(B), 0, LargeBody});
   REQUIRE(all<AckAttempt>().empty());
   REQUIRE(Core_.heldBack() == std::vector<RequestId>{R->Id_});
   note(Core_.callerBacklog(R->Id_, 0, Now_));
-  REQUIRE(last<AckAttempt>().Offset_ == Much.size());
+  REQUIRE(last<AckAttempt>().Offset_ == LargeBody.size());
 }
 
-// Any order of events, late, twice, or never: whatever happens, a request that
-// is not repeatable is begun again only after a statement that it did not run,
-// not-run is only told when all its attempts were so stated, and each request
-// gets exactly one final answer by its deadline.
+// For events in any order, late, duplicate or missing: a request that is not
+// repeatable begins again only after confirmation that it did not run; not-run
+// is reported only when all attempts were so confirmed; and each request gets
+// exactly one final answer by its deadline.
 TEST_CASE("requests, under random events, run at most once and are answered "
           "exactly once") {
   for (std::uint64_t Seed = 1; Seed <= 300; ++Seed) {
@@ -457,7 +469,7 @@
     for (int Step = 0; Step < 60; ++Step) {
       std::vector<BeginAttempt> Begun = F.all<BeginAttempt>();
       if (!F.all<StartClaim>().empty() && Rng.below(3) == 0)
-        F.note(F.Core_.claimWord(ClaimWon{R->Id_}, F.Now_));
+        F.note(F.Core_.claimDecided(ClaimWon{R->Id_}, F.Now_));
       if (Rng.below(40) == 0)
         F.note(F.Core_.callerGone(R->Id_, F.Now_));
       F.pass(Milliseconds(Rng.below(400)));
@@ -467,33 +479,33 @@
       bool IsCurrent = F.Core_.requestOf(B.Attempt_).isSet();
       switch (Rng.below(9)) {
       case 0:
-        F.word(F.head(B));
+        F.receive(F.head(B));
         break;
       case 1:
-        F.word(AttemptData{F.from(B), Rng.below(4), "abcd"});
+        F.receive(AttemptData{F.from(B), Rng.below(4), "abcd"});
         break;
       case 2:
-        F.word(F.end(B, "abcd"));
+        F.receive(F.end(B, "abcd"));
         break;
       case 3:
-        F.word(AttemptFailed{F.from(B), false, "run", "", ""});
+        F.receive(AttemptFailed{F.from(B), false, "run", "", ""});
         break;
       case 4:
         StatedNotRun[B.Attempt_] |= IsCurrent;
-        F.word(AttemptRefused{F.from(B), "draining", {}});
+        F.receive(AttemptRefused{F.from(B), "draining", {}});
         break;
       case 5:
         F.lose(B, false, B.Number_);
         break;
       case 6:
-        F.word(
-            AttemptState{F.from(B, NextLife), AttemptState::Phase::NeverSeen});
+        F.receive(AttemptState{F.from(B, NextIncarnation),
+                               AttemptState::Phase::NeverSeen});
         break;
       case 7:
-        F.word(AttemptAccepted{F.from(B)});
+        F.receive(AttemptAccepted{F.from(B)});
         break;
       default:
-        F.word(AttemptState{F.from(B), AttemptState::Phase::Running});
+        F.receive(AttemptState{F.from(B), AttemptState::Phase::Running});
       }
     }
     F.pass(Seconds(60));
@@ -505,13 +517,13 @@
       MayHaveRun += StatedNotRun[Each.Attempt_] ? 0 : 1;
     if (!R->Repeatable_)
       REQUIRE(MayHaveRun <= 1);
-    std::size_t Finals =
+    std::size_t FinalAnswers =
         F.all<RespondWhole>().size() + F.all<RespondProblem>().size() +
         F.all<StreamFinish>().size() + F.all<StreamAbort>().size();
     RequestDone Done = F.last<RequestDone>();
     REQUIRE(F.all<RequestDone>().size() == 1);
-    REQUIRE(Finals <= 1);
-    REQUIRE(Finals + (Done.CallerGone_ ? 1 : 0) >= 1);
+    REQUIRE(FinalAnswers <= 1);
+    REQUIRE(FinalAnswers + (Done.CallerGone_ ? 1 : 0) >= 1);
     for (const RespondProblem &Each : F.all<RespondProblem>())
       if (Each.Problem_.Outcome_ == Outcome::NotRun)
         REQUIRE(MayHaveRun == 0);
