--- a/bench/ControlBench.cpp
+++ b/bench/ControlBench.cpp
@@ -244,8 +244,8 @@
   void losses() {
     constexpr Duration Over = Seconds(60);
     Loop_.options().Loss_ = 0.2;
-    Loop_.options().Late_ = 0.2;
-    Loop_.options().LateBy_ = Milliseconds(400);
+    Loop_.options().LateShare_ = 0.2;
+    Loop_.options().ExtraDelay_ = Milliseconds(400);
     for (std::size_t I = 0; I < Loop_.size(); ++I)
       Loop_.node(I).Changes_.clear();
     Loop_.run(Over);
--- a/hawthornroad/base/Chart.cpp
+++ b/hawthornroad/base/Chart.cpp
@@ -13,13 +13,14 @@
 
 namespace json = boost::json;
 
-// Turns a chart file into a table, gathering every fault before it refuses.
-// Faults are texts that begin with the state or transition they concern.
+// Builds the transition table from a chart file. All faults are collected and
+// reported together; each text begins with the state or transition that it
+// concerns.
 class ChartParser {
 public:
   explicit ChartParser(ChartNames Names) { C_.Names_ = std::move(Names); }
 
-  // Throws Error(Step::Chart, File) with one line a fault.
+  // Throws Error(Step::Chart, File) with all faults, separated by semicolons.
   Chart parse(std::string_view Text, const std::string &File) {
     C_.Final_.assign(C_.Names_.States_.size(), false);
     C_.Table_.resize(C_.Names_.States_.size() * C_.Names_.Events_.size());
@@ -84,7 +85,7 @@
     return std::nullopt;
   }
 
-  // The index of Name among the names the code declares, noted as used.
+  // Returns the index of Name among the declared names and marks it as used.
   std::size_t indexOf(const std::string &Name, const std::string &Kind,
                       const std::vector<std::string> &Names,
                       const std::string &Where, Used &Seen) {
@@ -222,7 +223,7 @@
     }
   }
 
-  // What can be judged only once every part is sound.
+  // Checks that require all parts of the file to be valid.
   void checkWhole() {
     checkUsed("state", C_.Names_.States_, States_);
     checkUsed("event", C_.Names_.Events_, Events_);
--- a/hawthornroad/base/Chart.h
+++ b/hawthornroad/base/Chart.h
@@ -1,7 +1,8 @@
-// State charts kept in JSON files (charts/*.json) and interpreted by the code.
+// State charts (state machines) that are stored as JSON files in charts/ and
+// interpreted at run time.
 //
 //   enum class Phase { Waiting, Running, Done };
-//   enum class Word { Accepted, Ended };
+//   enum class Event { Accepted, Ended };
 //   Chart C = Chart::parse(Text, "attempt.json",
 //       {.States_ = {"waiting", "running", "done"},
 //        .Events_ = {"accepted", "ended"},
@@ -10,8 +11,8 @@
 //   State = S.Next_;
 //   for (std::size_t Action : S.Actions_) ...
 //
-// States, events, guards and actions are the indices of the names the code
-// declares, so enums map to them by position. A file reads
+// States, events, guards and actions are indices into the names that the code
+// declares, so enums map to them by position. A file has this form:
 //
 //   {"chart": "attempt", "initial": "waiting",
 //    "states": {
@@ -21,12 +22,12 @@
 //                                   {"to": "waiting"}]}},
 //      "done": {"final": true}}}
 //
-// The first transition whose guard holds is taken ("!name" negates). An event
-// without a transition leaves the state as it is and does nothing: events come
-// late, twice and out of order, and a chart must say what it reacts to, not
-// what it ignores. parse() refuses unknown names, names the code declares but
-// the file never uses, unreachable states and final states with transitions.
-// Cost of fire(): an array look-up and the guards.
+// The first transition whose guard holds is taken ("!name" negates a guard). An
+// event without a transition is ignored and leaves the state unchanged, because
+// events can arrive late, duplicated or out of order; a chart lists only the
+// events it reacts to. parse() rejects unknown names, names that the code
+// declares but the file never uses, unreachable states, and final states with
+// transitions. Cost of fire(): one array look-up and the guards.
 
 #ifndef HAWTHORNROAD_BASE_CHART_H
 #define HAWTHORNROAD_BASE_CHART_H
@@ -39,7 +40,7 @@
 
 namespace hawthornroad {
 
-// The names a piece of code binds to a chart.
+// The names that the code binds to a chart; a position is an enum value.
 struct ChartNames {
   std::vector<std::string> States_;
   std::vector<std::string> Events_;
@@ -52,15 +53,15 @@
   struct Step {
     std::size_t Next_ = 0;
     std::vector<std::size_t> Actions_;
-    // Whether a transition was taken, be it to the same state.
+    // Whether a transition was taken, including one to the same state.
     bool Taken_ = false;
   };
   using GuardFn = std::function<bool(std::size_t)>;
 
-  // Throws Error(Step::Chart, File, ...) naming every fault.
+  // Throws Error(Step::Chart, File, ...) that lists every fault.
   static Chart parse(std::string_view Text, const std::string &File,
                      ChartNames Names);
-  // Reads Directory/Name.json, then as parse().
+  // Reads Directory/Name.json and parses it like parse().
   static Chart load(const std::string &Directory, const std::string &Name,
                     ChartNames Names);
 
--- a/hawthornroad/base/Error.h
+++ b/hawthornroad/base/Error.h
@@ -1,5 +1,5 @@
-// The one exception type of the system: what went wrong, at which step, with
-// which peer.
+// The exception type of the system: the message, the step that failed and the
+// peer concerned.
 //
 //   throw Error(Step::Fetch, "127.0.0.1:9000", "connection refused");
 //
@@ -14,27 +14,27 @@
 
 namespace hawthornroad {
 
-// Where in the system's work an error arose.
+// The operation during which an error occurred.
 enum class Step {
   Settings,    // reading a process's settings
-  Declaration, // reading the operators' text
+  Declaration, // parsing the operators' declaration
   Chart,       // loading a state chart
   Listen,      // opening a listener
   Connect,     // opening a connection
   Receive,     // reading from a connection
   Send,        // writing to a connection
-  Admission,   // deciding whether a request may enter
+  Admission,   // admitting a request
   Choice,      // choosing an endpoint
   Claim,       // claiming an idempotency key
   Dispatch,    // handing an attempt to an agent
   Run,         // running an attempt at an engine or service
-  Answer,      // passing an answer back
+  Answer,      // relaying an answer to the caller
   Table,       // a call to the platform's table
   ObjectStore, // a call to the platform's object store
   Manifest,    // reading a weight manifest
   Fetch,       // fetching a chunk
-  Verify,      // checking a chunk or a whole
-  Order,       // giving an engine an order
+  Verify,      // checking a chunk or a complete object
+  Order,       // sending an order to an engine
   Apply,       // accepting or applying a configuration
   Gossip       // exchanging membership or revisions
 };
@@ -43,8 +43,8 @@
 
 class Error : public std::runtime_error {
 public:
-  // Peer is the address or name of the other side, or the file at fault;
-  // empty when there is none.
+  // Peer is the address or name of the remote side, or the name of the faulty
+  // file; empty if there is none.
   Error(Step Where, std::string Peer, const std::string &Message);
 
   Step step() const { return Where_; }
--- a/hawthornroad/base/Hash.h
+++ b/hawthornroad/base/Hash.h
@@ -1,9 +1,10 @@
-// Hashes: SHA-256 for weights and texts, FNV-1a for whole answers, rendezvous
-// scores for choices that many processes must make alike without talking.
+// Hashes: SHA-256 for weights and texts, FNV-1a for complete answers, and
+// rendezvous scores for choices on which many processes must agree without
+// communication.
 //
-// Rendezvous hashing: every (key, candidate) pair has a score; the candidates
-// with the highest scores own the key. When a candidate leaves, only its own
-// keys move. Cost: one score per candidate.
+// Rendezvous hashing: every (key, candidate) pair has a score, and the
+// candidates with the highest scores own the key. When a candidate leaves, only
+// its own keys move. Cost: one score per candidate.
 
 #ifndef HAWTHORNROAD_BASE_HASH_H
 #define HAWTHORNROAD_BASE_HASH_H
@@ -17,7 +18,7 @@
 
 namespace hawthornroad {
 
-// SHA-256 over pieces fed in order.
+// SHA-256 of the concatenation of the pieces passed to update().
 class Sha256 {
 public:
   Sha256();
@@ -36,8 +37,9 @@
 
 std::string sha256(std::string_view Bytes);
 
-// 64-bit FNV-1a over pieces fed in order. Detects lost, doubled or reordered
-// pieces of an answer; it is no defence against a forger.
+// 64-bit FNV-1a of the concatenation of the pieces passed to update(). Detects
+// lost, duplicated or reordered pieces of an answer; it does not protect
+// against deliberate forgery.
 class Fnv1a {
 public:
   void update(std::string_view Bytes) {
--- a/hawthornroad/base/Random.h
+++ b/hawthornroad/base/Random.h
@@ -1,5 +1,5 @@
-// Random numbers for decision modules: a generator seeded by the caller, so a
-// test with a fixed seed sees the same choices in every run.
+// Random numbers for decision modules. The caller provides the seed, so that a
+// test with a fixed seed makes the same choices in every run.
 
 #ifndef HAWTHORNROAD_BASE_RANDOM_H
 #define HAWTHORNROAD_BASE_RANDOM_H
--- a/hawthornroad/base/Ring.h
+++ b/hawthornroad/base/Ring.h
@@ -1,6 +1,6 @@
-// A bounded ring between threads. A full ring refuses: tryPush returns false
-// and leaves the item with the caller, who then answers truthfully (a refusal,
-// a paused read) in place of blocking or dropping.
+// A bounded queue between threads. When it is full, tryPush() returns false and
+// leaves the item with the caller, which then applies back pressure (refuses a
+// request, pauses reading) instead of blocking or dropping the item.
 //
 //   Ring<Event> Events(4096);
 //   if (!Events.tryPush(std::move(E)))
@@ -65,7 +65,7 @@
 private:
   std::size_t Capacity_;
   std::atomic<std::size_t> Size_{0};
-  // Nodes are reserved for Capacity_ items up front; Size_ keeps the bound.
+  // Nodes for Capacity_ items are allocated up front; Size_ enforces the bound.
   boost::lockfree::queue<T *> Items_;
 };
 
--- a/hawthornroad/base/Types.h
+++ b/hawthornroad/base/Types.h
@@ -1,12 +1,13 @@
-// The words every module shares: names of places and parties, ids, time.
+// Basic types shared by all modules: names of zones, customers, VMs and
+// processes, ids, and time.
 //
-// Names are strong strings, so a Customer cannot be passed for a Vm:
+// Names are strongly typed strings, so a Customer cannot be passed as a Vm:
 //
 //   Vm Target("copywriter-lm-03");
 //   AvailabilityZone Zone("zg-borongaj");
 //
-// Time in decision modules is always a TimePoint handed in by the caller;
-// none of them reads a clock. The runtime takes it from CAF's actor clock.
+// Decision modules receive the time as a TimePoint from their caller and never
+// read a clock. The runtime takes it from CAF's actor clock.
 
 #ifndef HAWTHORNROAD_BASE_TYPES_H
 #define HAWTHORNROAD_BASE_TYPES_H
@@ -26,7 +27,7 @@
 using Milliseconds = std::chrono::milliseconds;
 using Seconds = std::chrono::seconds;
 
-// A string that carries its meaning in its type. Empty means "not set".
+// A string with its own type for each meaning. Empty means "not set".
 template <class Tag> class Name {
 public:
   Name() = default;
@@ -43,11 +44,11 @@
 using Customer = Name<struct CustomerTag>;
 using Vm = Name<struct VmTag>;
 using ServiceName = Name<struct ServiceNameTag>;
-// The digest of a weight manifest, "sha256:" and 64 hex digits. It names a
+// The digest of a weight manifest, "sha256:" and 64 hex digits. It identifies a
 // model version: two versions are the same exactly when their digests are.
 using VersionDigest = Name<struct VersionDigestTag>;
-// The name of one process of the system, unique in the fleet, from its
-// settings. A restarted process keeps its name and raises its incarnation.
+// The name of one process of the system, unique in the fleet and taken from its
+// settings. A restarted process keeps its name and has a higher incarnation.
 using ProcessName = Name<struct ProcessNameTag>;
 // "IP:port" of a process's listener for other processes of the system.
 using PeerAddress = Name<struct PeerAddressTag>;
@@ -64,13 +65,14 @@
   static Id parse(std::string_view Text);
 };
 
-// One request of a caller, across all its attempts.
+// One request of a caller, across all of its attempts.
 using RequestId = Id<struct RequestTag>;
-// One try of a request at one endpoint.
+// One attempt to serve a request, at one endpoint.
 using AttemptId = Id<struct AttemptTag>;
 
-// A number that grows over a process's restarts (its start, nanoseconds since
-// the epoch), so that word from a dead predecessor is told from fresh word.
+// A number that rises with each restart of a process (its start time in
+// nanoseconds since the epoch). It distinguishes messages of the current
+// process from late ones of its predecessor.
 using Incarnation = std::uint64_t;
 
 // The number of an accepted configuration; the first accepted one is 1, and 0
--- a/hawthornroad/membership/ControlCore.cpp
+++ b/hawthornroad/membership/ControlCore.cpp
@@ -23,13 +23,14 @@
     return;
   Membership::Output Members;
   Membership_.tick(Now, Members);
-  finish(Members, Now, Out);
-  elect();
+  collect(Members, Now, Out);
+  electReaders();
   ConfigFollower::Output Config;
   Config_.tick(IsReader_, Now, Config);
-  finish(Config, Out);
-  // The list is read at the start and while nobody is known; later only by the
-  // zone's readers, as a hint of members beyond a cut.
+  collect(Config, Out);
+  // The list is read at the start and while no live member is known. After that
+  // only the readers of the zone read it, to find members beyond a network
+  // partition.
   bool Wanted = !ListAsked_ || IsReader_ || table().live().empty();
   if (Setup_.HasList_ && Wanted && ListPolls_.isDue(Now)) {
     ListPolls_.readStarted(Now);
@@ -37,11 +38,11 @@
   }
   if (Ready_)
     return;
-  askPeers(Now, Out);
+  pullFromPeers(Now, Out);
   Ready_ = Join_.isComplete(joinView(), Now);
 }
 
-void ControlCore::elect() {
+void ControlCore::electReaders() {
   if (ElectedAt_ == table().version())
     return;
   ElectedAt_ = table().version();
@@ -53,11 +54,11 @@
                                      Zone, Setup_.Readers_);
 }
 
-void ControlCore::askPeers(TimePoint Now, Output &Out) {
+void ControlCore::pullFromPeers(TimePoint Now, Output &Out) {
   std::vector<PeerAddress> Live;
   for (const ProcessName &Each : table().live())
     Live.push_back(table().find(Each)->Address_);
-  for (const PeerAddress &Each : Join_.ask(Live, Now))
+  for (const PeerAddress &Each : Join_.peersToAsk(Live, Now))
     Out.Sends_.push_back({Each, PullMessage{Config_.log().revision()}});
 }
 
@@ -73,7 +74,7 @@
           .MayHavePeers_ = Live > 0 || Contacts || ListMayTell,
           .LivePeers_ = Live,
           .Held_ = Config_.log().revision(),
-          .HighestHeard_ = Config_.highestSeen()};
+          .HighestSeen_ = Config_.highestSeen()};
 }
 
 void ControlCore::handle(const PeerAddress &From, const ControlMessage &Message,
@@ -93,22 +94,23 @@
         }
       },
       Message);
-  finish(Members, Now, Out);
-  finish(Config, Out);
+  collect(Members, Now, Out);
+  collect(Config, Out);
 }
 
-void ControlCore::finish(Membership::Output &From, TimePoint Now, Output &Out) {
+void ControlCore::collect(Membership::Output &From, TimePoint Now,
+                          Output &Out) {
   for (ControlSend &Each : From.Sends_)
     Out.Sends_.push_back(std::move(Each));
   for (MemberChange &Each : From.Changes_)
     Out.Changes_.push_back(std::move(Each));
   ConfigFollower::Output Config;
-  for (const HeardRevision &Each : From.Revisions_)
+  for (const AdvertisedRevision &Each : From.Revisions_)
     Config_.observeRevision(Each.From_, Each.Revision_, Now, Config);
-  finish(Config, Out);
+  collect(Config, Out);
 }
 
-void ControlCore::finish(ConfigFollower::Output &From, Output &Out) {
+void ControlCore::collect(ConfigFollower::Output &From, Output &Out) {
   for (ControlSend &Each : From.Sends_)
     Out.Sends_.push_back(std::move(Each));
   if (From.Read_)
@@ -124,7 +126,7 @@
                                 Output &Out) {
   ConfigFollower::Output Config;
   Config_.tableAnswered(Answer, Now, Config);
-  finish(Config, Out);
+  collect(Config, Out);
 }
 
 void ControlCore::listAnswered(std::optional<std::vector<PeerAddress>> List,
@@ -143,13 +145,13 @@
                           Output &Out) {
   Membership::Output Members;
   Membership_.publish(Status, Now, Members);
-  finish(Members, Now, Out);
+  collect(Members, Now, Out);
 }
 
 void ControlCore::leave(TimePoint Now, Output &Out) {
   Membership::Output Members;
   Membership_.leave(Now, Members);
-  finish(Members, Now, Out);
+  collect(Members, Now, Out);
 }
 
 } // namespace hawthornroad
--- a/hawthornroad/membership/ControlCore.h
+++ b/hawthornroad/membership/ControlCore.h
@@ -1,5 +1,5 @@
-// All that a process decides about membership and configuration, in one place
-// for the drivers: the control plane, benchmarks, tests.
+// The membership and configuration logic of one process behind a single
+// interface, for its drivers: the control plane, benchmarks and tests.
 //
 //   ControlCore Core(Chart, Setup, Rng);
 //   ControlCore::Output Out;
@@ -11,9 +11,10 @@
 //   if (Out.ReadList_) ...   // read the membership list, then listAnswered()
 //   if (Out.Advanced_) ...   // parse Core.config().log(), then setInForce()
 //
-// It joins Membership, ConfigFollower and JoinProgress: readers of the table
-// are elected among the live members of the zone, revisions heard in gossip are
-// pulled, and a new revision goes to ConfigFanout_ random members at once.
+// Combines Membership, ConfigFollower and JoinProgress: the readers of the
+// table are elected among the live members of the zone, revisions that other
+// members advertise are pulled from them, and a new revision is pushed to
+// ConfigFanout_ random members at once.
 
 #ifndef HAWTHORNROAD_MEMBERSHIP_CONTROLCORE_H
 #define HAWTHORNROAD_MEMBERSHIP_CONTROLCORE_H
@@ -32,11 +33,11 @@
     Membership::Setup Membership_;
     ConfigFollower::Limits Config_;
     JoinProgress::Limits Join_;
-    // The platform's membership list: whether there is one, and its reads.
+    // Whether the platform has a membership list, and how often it is read.
     bool HasList_ = false;
     PollSchedule::Limits List_ = {.Period_ = Seconds(5),
                                   .MaxWait_ = Seconds(30)};
-    // Processes of a zone that read the table.
+    // Number of processes per zone that read the table.
     std::size_t Readers_ = 3;
     std::size_t ConfigFanout_ = 4;
   };
@@ -58,8 +59,8 @@
   // Nullopt when the platform did not answer.
   void listAnswered(std::optional<std::vector<PeerAddress>> List,
                     TimePoint Now);
-  // The revision now in force here; lower than the one held when the text held
-  // cannot be read.
+  // Sets the revision in force in this process. It is lower than the revision
+  // held when the held text cannot be parsed.
   void setInForce(Revision R);
   void publish(const EndpointStatus &Status, TimePoint Now, Output &Out);
   void leave(TimePoint Now, Output &Out);
@@ -70,10 +71,10 @@
   const ConfigFollower &config() const { return Config_; }
 
 private:
-  void finish(Membership::Output &From, TimePoint Now, Output &Out);
-  void finish(ConfigFollower::Output &From, Output &Out);
-  void elect();
-  void askPeers(TimePoint Now, Output &Out);
+  void collect(Membership::Output &From, TimePoint Now, Output &Out);
+  void collect(ConfigFollower::Output &From, Output &Out);
+  void electReaders();
+  void pullFromPeers(TimePoint Now, Output &Out);
   JoinProgress::View joinView() const;
 
   Setup Setup_;
--- a/hawthornroad/membership/ControlMessages.h
+++ b/hawthornroad/membership/ControlMessages.h
@@ -1,6 +1,7 @@
 // The control messages between processes as value types; peers/ControlCodec.h
-// turns them into frames. In Probe, Ack and Gossip the first member is always
-// the sender itself, as it is now, and Revision_ is the highest it holds.
+// converts them to and from frames. In Probe, Ack and Gossip the first member
+// is always the current record of the sender, and Revision_ is the highest
+// revision it holds.
 
 #ifndef HAWTHORNROAD_MEMBERSHIP_CONTROLMESSAGES_H
 #define HAWTHORNROAD_MEMBERSHIP_CONTROLMESSAGES_H
@@ -13,13 +14,14 @@
 
 namespace hawthornroad {
 
-// Sequence of a probe that asks to join: it is answered with the sender's
-// whole table, in gossip messages.
+// Sequence number of a join probe. It is answered with the complete member
+// table of the receiver, in gossip messages.
 constexpr std::uint64_t JoinSequence = 0;
 
 struct ProbeMessage {
   std::uint64_t Sequence_ = JoinSequence;
-  // When set: probe that member for me, and answer when it does.
+  // If set, the receiver probes this member on behalf of the sender and
+  // acknowledges when that member does.
   ProcessName Target_;
   std::vector<Member> Members_;
   Revision Revision_ = 0;
@@ -29,7 +31,7 @@
 
 struct AckMessage {
   std::uint64_t Sequence_ = 0;
-  // Who answered; not the sender when the probe was indirect.
+  // The process that answered; differs from the sender for an indirect probe.
   ProcessName Process_;
   std::vector<Member> Members_;
   Revision Revision_ = 0;
@@ -44,13 +46,13 @@
   std::vector<std::uint32_t> InForce_;
 };
 
-// Asks for what follows After_; always answered, if only with nothing. After_
-// 0 asks for a snapshot.
+// Requests the changes after revision After_, or a snapshot if After_ is 0.
+// Always answered, if need be with an empty push.
 struct PullMessage {
   Revision After_ = 0;
 };
 
-// One accepted change, as the table keeps it.
+// One accepted change, as stored in the table.
 struct ConfigChange {
   Revision Revision_ = 0;
   std::string Change_;
@@ -58,17 +60,17 @@
   std::string Reason_;
   // JSON merge patch against Revision_ - 1.
   std::string Patch_;
-  // Of the whole text after the patch (textDigest).
+  // Digest of the complete text after the patch (textDigest).
   std::string Digest_;
   std::uint64_t AcceptedMs_ = 0;
   bool operator==(const ConfigChange &) const = default;
 };
 
 struct PushMessage {
-  // The text of a config/snapshot key, or empty.
+  // The value of a config/snapshot key, or empty.
   std::string Snapshot_;
   Revision SnapshotRevision_ = 0;
-  // Consecutive, rising.
+  // Consecutive, in ascending order of revision.
   std::vector<ConfigChange> Changes_;
 };
 
@@ -82,8 +84,8 @@
 struct ControlSend {
   PeerAddress To_;
   ControlMessage Message_;
-  // Over a new connection: the one in use may have gone silent.
-  bool Fresh_ = false;
+  // Send over a new connection, as the one in use may have gone silent.
+  bool NewConnection_ = false;
 };
 
 } // namespace hawthornroad
--- a/hawthornroad/membership/EndpointStatus.h
+++ b/hawthornroad/membership/EndpointStatus.h
@@ -1,5 +1,5 @@
-// What one agent says of the endpoint on its VM, as a value type. The wire's
-// EndpointReport carries it (peers/WireCodec.h).
+// An agent's report about the endpoint on its VM, as a value type. The wire
+// type EndpointReport carries it (peers/WireCodec.h).
 
 #ifndef HAWTHORNROAD_MEMBERSHIP_ENDPOINTSTATUS_H
 #define HAWTHORNROAD_MEMBERSHIP_ENDPOINTSTATUS_H
@@ -18,33 +18,35 @@
   Vm Vm_;
   ProcessName Process_;
   Incarnation Incarnation_ = 0;
-  // Grows with each report of one incarnation.
+  // Rises with each report within one incarnation.
   std::uint64_t Sequence_ = 0;
-  // The agent's listeners: for requests and control, and for chunks.
+  // The agent's listeners: Address_ for requests and control messages,
+  // WeightsAddress_ for weight chunks.
   PeerAddress Address_;
   PeerAddress WeightsAddress_;
   AvailabilityZone Zone_;
   ServiceName Service_;
   EndpointPhase Phase_ = EndpointPhase::Starting;
-  // What the engine reports loaded; empty for a plain service.
+  // The version that the engine has loaded; empty for a plain service.
   VersionDigest Version_;
-  // Attempts run at once, running now, waiting inside the engine.
+  // Maximum number of concurrent attempts, attempts running now, and attempts
+  // queued inside the engine.
   std::uint32_t Capacity_ = 0;
   std::uint32_t Running_ = 0;
   std::uint32_t Waiting_ = 0;
-  // Recent mean milliseconds of one token (model) or one call (plain).
+  // Recent mean milliseconds per token (model) or per call (plain service).
   float StepMs_ = 0;
-  // Why it is not ready, for people.
+  // Human-readable reason why the endpoint is not ready.
   std::string Detail_;
-  // Versions held whole and verified on the VM.
+  // Versions that are complete and verified on the VM.
   std::vector<VersionDigest> Staged_;
-  // The rollout turn's state, a name from charts/rollout.json.
+  // State of the rollout turn, a name from charts/rollout.json.
   std::string Rollout_;
   // The version the engine failed to load, if any.
   VersionDigest FailedVersion_;
 
   bool operator==(const EndpointStatus &) const = default;
-  // Whether this is later word than Other about the same VM.
+  // Whether this report is newer than Other, a report about the same VM.
   bool supersedes(const EndpointStatus &Other) const {
     if (Incarnation_ != Other.Incarnation_)
       return Incarnation_ > Other.Incarnation_;
--- a/hawthornroad/membership/GossipQueue.cpp
+++ b/hawthornroad/membership/GossipQueue.cpp
@@ -4,12 +4,12 @@
 
 namespace hawthornroad {
 
-void GossipQueue::add(const ProcessName &Process, NewsRank Rank,
+void GossipQueue::add(const ProcessName &Process, UpdateRank Rank,
                       bool WithReport) {
   auto [Found, Added] = Items_.try_emplace(Process);
   Item &I = Found->second;
   if (!Added) {
-    Rank = std::min(Rank, std::get<NewsRank>(I.Key_));
+    Rank = std::min(Rank, std::get<UpdateRank>(I.Key_));
     Order_.erase(I.Key_);
   }
   I.WithReport_ = I.WithReport_ || WithReport;
@@ -56,9 +56,9 @@
   return Out;
 }
 
-bool GossipQueue::hasUnsent(NewsRank Rank) const {
+bool GossipQueue::hasUnsent(UpdateRank Rank) const {
   for (std::size_t R = 0; R <= static_cast<std::size_t>(Rank); ++R) {
-    auto First = Order_.lower_bound({static_cast<NewsRank>(R), 0, 0});
+    auto First = Order_.lower_bound({static_cast<UpdateRank>(R), 0, 0});
     if (First == Order_.end())
       return false;
     const auto &[ItemRank, Sent, Age] = First->first;
--- a/hawthornroad/membership/GossipQueue.h
+++ b/hawthornroad/membership/GossipQueue.h
@@ -1,17 +1,18 @@
-// News that rides on messages sent anyway, least transmitted first.
+// Queue of membership updates to piggyback on outgoing messages, least
+// transmitted first.
 //
 //   GossipQueue Queue({});
-//   Queue.add(Process, NewsRank::State, false);
+//   Queue.add(Process, UpdateRank::State, false);
 //   for (const GossipQueue::Pick &P : Queue.pick(Budget, Transmits, SizeOf))
 //     Message.Members_.push_back(copyOf(P));
 //
-// The queue holds names; the record is read when it is sent, so that what goes
-// out is the latest and one member never stands in it twice. News of higher
-// rank goes first: deaths and leaves before changed endpoints.
+// The queue holds only names; the record is read when it is sent, so that the
+// latest one goes out and a member is never queued twice. Updates of higher
+// rank go first: deaths and leaves before changed endpoints.
 //
 // Invariant: an item is sent at most Transmits times for each add(). Bound:
-// Capacity_ items; beyond that the most transmitted of the lowest rank goes.
-// Cost: logarithmic in the queue for each item picked.
+// Capacity_ items; beyond that the most transmitted item of the lowest rank is
+// dropped. Cost: logarithmic in the queue size for each item picked.
 
 #ifndef HAWTHORNROAD_MEMBERSHIP_GOSSIPQUEUE_H
 #define HAWTHORNROAD_MEMBERSHIP_GOSSIPQUEUE_H
@@ -26,7 +27,7 @@
 
 namespace hawthornroad {
 
-enum class NewsRank : std::uint8_t { State, Endpoint };
+enum class UpdateRank : std::uint8_t { State, Endpoint };
 
 class GossipQueue {
 public:
@@ -38,30 +39,30 @@
     bool WithReport_ = false;
     bool operator==(const Pick &) const = default;
   };
-  // Bytes of a member on the wire; 0 when it is no longer known.
+  // Encoded size of a member in bytes; 0 when the member is no longer known.
   using SizeFn = std::function<std::size_t(const Pick &)>;
 
   explicit GossipQueue(Limits L) : Limits_(L) {}
 
-  void add(const ProcessName &Process, NewsRank Rank, bool WithReport);
-  // Items that fit in Budget bytes. The first may exceed it, or one large
-  // record would wait for ever.
+  void add(const ProcessName &Process, UpdateRank Rank, bool WithReport);
+  // Returns items that fit into Budget bytes. The first one may exceed it;
+  // otherwise a large record would never be sent.
   std::vector<Pick> pick(std::size_t Budget, std::size_t Transmits,
                          const SizeFn &SizeOf);
-  // Whether an item of Rank or above was not sent yet.
-  bool hasUnsent(NewsRank Rank) const;
+  // Whether an item of at least this rank has not been sent yet.
+  bool hasUnsent(UpdateRank Rank) const;
   std::size_t size() const { return Items_.size(); }
 
 private:
-  // Rank, times sent, age (newest first): the order of sending.
-  using Key = std::tuple<NewsRank, std::size_t, std::uint64_t>;
+  // Rank, number of transmissions, age (newest first): the sending order.
+  using Key = std::tuple<UpdateRank, std::size_t, std::uint64_t>;
   struct Item {
     Key Key_;
     bool WithReport_ = false;
   };
 
   Limits Limits_;
-  // Falls, so that the newest comes first.
+  // Counts down, so that the newest item sorts first.
   std::uint64_t NextAge_ = UINT64_MAX;
   std::map<Key, ProcessName> Order_;
   std::unordered_map<ProcessName, Item> Items_;
--- a/hawthornroad/membership/JoinProgress.cpp
+++ b/hawthornroad/membership/JoinProgress.cpp
@@ -4,16 +4,17 @@
 
 namespace hawthornroad {
 
-std::vector<PeerAddress> JoinProgress::ask(const std::vector<PeerAddress> &Live,
-                                           TimePoint Now) {
+std::vector<PeerAddress>
+JoinProgress::peersToAsk(const std::vector<PeerAddress> &Live, TimePoint Now) {
   if (Complete_ || Answered_.size() >= Limits_.Peers_)
     return {};
   if (Now >= NextRound_) {
-    // When all known were asked, begin again with those that were silent.
+    // Once all known peers were asked, start again with those that have not
+    // answered.
     if (AskedInRound_ == 0)
       Asked_ = Answered_;
     AskedInRound_ = 0;
-    NextRound_ = Now + Limits_.AskAgain_;
+    NextRound_ = Now + Limits_.RetryPeriod_;
   }
   std::vector<PeerAddress> Out;
   std::size_t Wanted = Limits_.Peers_ - Answered_.size();
@@ -34,7 +35,7 @@
 }
 
 bool JoinProgress::peersAsked(const View &V, TimePoint Now) const {
-  if (!V.MayHavePeers_ || Now >= Start_ + Limits_.GiveUp_)
+  if (!V.MayHavePeers_ || Now >= Start_ + Limits_.PeerTimeout_)
     return true;
   return V.LivePeers_ > 0 &&
          Answered_.size() >= std::min(Limits_.Peers_, V.LivePeers_);
@@ -44,9 +45,9 @@
   if (Complete_)
     return true;
   bool TableAsked = V.TableRead_ || V.TableFailed_ || !V.HasTable_;
-  bool HeardAnybody = V.TableRead_ || !Answered_.empty();
-  Complete_ = TableAsked && HeardAnybody && peersAsked(V, Now) &&
-              V.Held_ >= V.HighestHeard_;
+  bool HasAnswer = V.TableRead_ || !Answered_.empty();
+  Complete_ = TableAsked && HasAnswer && peersAsked(V, Now) &&
+              V.Held_ >= V.HighestSeen_;
   return Complete_;
 }
 
--- a/hawthornroad/membership/JoinProgress.h
+++ b/hawthornroad/membership/JoinProgress.h
@@ -1,17 +1,19 @@
-// When a new process holds the highest revision it can reach, and so may say
-// that it is ready.
+// Decides when a new process holds the highest revision that it can reach, and
+// so may report that it is ready.
 //
 //   JoinProgress J(Limits, Start);
-//   for (const PeerAddress &P : J.ask(LivePeers, Now)) send(P, PullMessage);
+//   for (const PeerAddress &P : J.peersToAsk(LivePeers, Now))
+//     send(P, PullMessage);
 //   J.answered(From);
 //   if (J.isComplete(View, Now)) ...
 //
-// It has to ask the table, and Peers_ live members or all when there are fewer.
-// A peer that does not answer is replaced by another after AskAgain_. What
-// cannot be reached does not hold it up for ever: the table counts as asked
-// after one failed read, peers after GiveUp_. But it must have heard from
-// somebody: with nothing reached it would serve without any configuration.
-// Once complete it stays so.
+// Completion requires an answer from the table and from Peers_ live members, or
+// from all of them if there are fewer. Another peer is asked in place of one
+// that does not answer within RetryPeriod_. An unreachable source delays
+// completion only for a limited time: the table counts as asked after one
+// failed read, the peers after PeerTimeout_. At least one source must have
+// answered, as the process would otherwise serve without any configuration.
+// Once complete, it stays complete.
 
 #ifndef HAWTHORNROAD_MEMBERSHIP_JOINPROGRESS_H
 #define HAWTHORNROAD_MEMBERSHIP_JOINPROGRESS_H
@@ -28,26 +30,26 @@
 public:
   struct Limits {
     std::size_t Peers_ = 3;
-    Duration AskAgain_ = Milliseconds(500);
-    Duration GiveUp_ = Seconds(3);
+    Duration RetryPeriod_ = Milliseconds(500);
+    Duration PeerTimeout_ = Seconds(3);
   };
-  // What the rest of the process knows.
+  // State of the process that the decision depends on.
   struct View {
     bool TableRead_ = false;
     bool TableFailed_ = false;
     bool HasTable_ = true;
-    // Whether anybody else may be there: a contact or a live member.
+    // Whether other processes may exist: a contact or a live member is known.
     bool MayHavePeers_ = true;
     std::size_t LivePeers_ = 0;
     Revision Held_ = 0;
-    Revision HighestHeard_ = 0;
+    Revision HighestSeen_ = 0;
   };
 
   JoinProgress(Limits L, TimePoint Start) : Limits_(L), Start_(Start) {}
 
-  // Peers to ask now for what they hold.
-  std::vector<PeerAddress> ask(const std::vector<PeerAddress> &Live,
-                               TimePoint Now);
+  // Returns the peers to send a pull request to now.
+  std::vector<PeerAddress> peersToAsk(const std::vector<PeerAddress> &Live,
+                                      TimePoint Now);
   void answered(const PeerAddress &Peer);
   bool isComplete(const View &V, TimePoint Now);
 
--- a/hawthornroad/membership/Member.cpp
+++ b/hawthornroad/membership/Member.cpp
@@ -5,8 +5,9 @@
 namespace hawthornroad {
 
 namespace {
-// A table with its offsets and numbers, and what a string costs beside its
-// characters (length, offset, terminator, padding).
+// Encoded size of a FlatBuffers table with its offsets and numbers, and the
+// overhead of a string beyond its characters (length, offset, terminator,
+// padding).
 constexpr std::size_t MemberBytes = 48;
 constexpr std::size_t ReportBytes = 88;
 constexpr std::size_t StringBytes = 10;
--- a/hawthornroad/membership/Member.h
+++ b/hawthornroad/membership/Member.h
@@ -1,10 +1,10 @@
-// One process of the fleet as another process knows it.
+// The record of one process of the fleet as another process knows it.
 //
-// Word of a member is ordered by (incarnation, state), states in the order of
-// the enum: of two words the greater one holds. The order is total, so it does
-// not matter in which order, how often or how late words arrive; and a member
-// that hears itself called Suspect or Dead answers with Alive of a higher
-// incarnation, which beats both.
+// Updates about a member are ordered by (incarnation, state), with states in
+// the order of the enum; the greater update wins. The order is total, so the
+// result does not depend on the order, number or delay of updates. A member
+// that learns that others hold it Suspect or Dead refutes this with Alive at a
+// higher incarnation, which wins over both.
 
 #ifndef HAWTHORNROAD_MEMBERSHIP_MEMBER_H
 #define HAWTHORNROAD_MEMBERSHIP_MEMBER_H
@@ -28,19 +28,20 @@
   std::string Role_; // "entry" or "agent"
   AvailabilityZone Zone_;
   PeerAddress Address_;
-  // The configuration revision in force there.
+  // The configuration revision in force in that process.
   Revision Revision_ = 0;
-  // What an agent last said of its endpoint; null when not known or not told.
+  // The latest endpoint report of an agent; null when not known or not sent.
   std::shared_ptr<const EndpointStatus> Report_;
 
   bool isLive() const { return State_ <= MemberState::Suspect; }
   bool isEntry() const { return Role_ == "entry"; }
 };
 
-// Whether A and B differ in more than load, which changes all the time.
+// Whether A and B differ in more than load, which changes continuously.
 bool differBeyondLoad(const EndpointStatus &A, const EndpointStatus &B);
 
-// Bytes of M on the wire, for budgets; within a fifth of the encoded size.
+// Estimated encoded size of M in bytes, for message budgets; within a fifth of
+// the actual size.
 std::size_t wireSize(const Member &M, bool WithReport);
 
 } // namespace hawthornroad
--- a/hawthornroad/membership/MemberTable.cpp
+++ b/hawthornroad/membership/MemberTable.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-// Positions in memberChartNames(). The first four states and events stand in
-// the order of MemberState.
+// Positions in memberChartNames(). The first four states and events are in the
+// order of MemberState.
 enum State : std::size_t { Forgotten = 4 };
-enum Event : std::size_t { TimeIsUp = 4 };
+enum Event : std::size_t { DeadlinePassed = 4 };
 enum Guard : std::size_t { IsNewer, IsCurrent };
 enum Action : std::size_t {
   TakeIncarnation,
   StartSuspicion,
-  StartKeeping,
+  StartRetention,
   Forget,
   TellSuspected,
   TellCleared,
@@ -62,99 +62,103 @@
   return List.empty() ? nullptr : find(List[R.below(List.size())]);
 }
 
-Duration MemberTable::suspicion() const {
+Duration MemberTable::suspicionTimeout() const {
   double Factor = std::max(1.0, std::log10(static_cast<double>(Live_.size())));
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(Limits_.Suspicion_) * Factor);
 }
 
-MemberTable::Changes MemberTable::hear(const Member &News, TimePoint Now) {
-  if (News.Process_ == Self_.Process_)
-    return hearOfSelf(News);
+MemberTable::Changes MemberTable::applyUpdate(const Member &Update,
+                                              TimePoint Now) {
+  if (Update.Process_ == Self_.Process_)
+    return applySelfUpdate(Update);
   Changes Out;
-  auto Found = Records_.find(News.Process_);
+  auto Found = Records_.find(Update.Process_);
   if (Found == Records_.end()) {
-    admit(News, Now, Out);
+    addMember(Update, Now, Out);
     return Out;
   }
-  // A copy of the name: firing may erase the record.
-  ProcessName Process = News.Process_;
-  mergeFacts(Found->second, News, Out);
-  fire(Found->second, index(News.State_), News.Incarnation_, Now, Out);
+  // Copied because firing an event may erase the record.
+  ProcessName Process = Update.Process_;
+  mergeRevisionAndReport(Found->second, Update, Out);
+  fire(Found->second, index(Update.State_), Update.Incarnation_, Now, Out);
   return Out;
 }
 
-// Word that this process is suspected, dead or gone, or of a higher
-// incarnation than its own: a clock that stepped back over a restart makes a
-// new process look older than its predecessor, and nobody would believe it.
-MemberTable::Changes MemberTable::hearOfSelf(const Member &News) {
+// Handles an update that holds this process suspect, dead or left, or that has
+// a higher incarnation than its own. The latter happens when the clock stepped
+// back over a restart: the new process then looks older than its predecessor,
+// and other members would ignore its updates.
+MemberTable::Changes MemberTable::applySelfUpdate(const Member &Update) {
   if (Self_.State_ == MemberState::Left)
     return {};
-  bool Contradicts = News.Incarnation_ > Self_.Incarnation_ ||
-                     (News.Incarnation_ == Self_.Incarnation_ &&
-                      News.State_ != MemberState::Alive);
+  bool Contradicts = Update.Incarnation_ > Self_.Incarnation_ ||
+                     (Update.Incarnation_ == Self_.Incarnation_ &&
+                      Update.State_ != MemberState::Alive);
   if (!Contradicts)
     return {};
-  Self_.Incarnation_ = News.Incarnation_ + 1;
+  Self_.Incarnation_ = Update.Incarnation_ + 1;
   return {{Kind::Refuted, Self_.Process_, nullptr}};
 }
 
-void MemberTable::admit(const Member &News, TimePoint Now, Changes &Out) {
+void MemberTable::addMember(const Member &Update, TimePoint Now, Changes &Out) {
   if (Records_.size() >= Limits_.MaxMembers_) {
     ++Refused_;
     return;
   }
-  Record &R = Records_[News.Process_];
-  ByMark_[InForceSet::mark(News.Process_)] = News.Process_;
-  R.Member_ = News;
+  Record &R = Records_[Update.Process_];
+  ByMark_[InForceSet::mark(Update.Process_)] = Update.Process_;
+  R.Member_ = Update;
   R.Member_.State_ = MemberState::Alive;
-  bool Gone = !News.isLive();
+  bool Gone = !Update.isLive();
   if (Gone)
-    R.Member_.State_ = News.State_;
-  place(R);
+    R.Member_.State_ = Update.State_;
+  addToList(R);
   if (Gone) {
-    setDeadline(R, Now + Limits_.DeadKeep_);
+    setDeadline(R, Now + Limits_.RetainGoneFor_);
     return;
   }
-  Out.push_back({Kind::Joined, News.Process_, nullptr});
-  if (News.Report_)
-    Out.push_back({Kind::Reported, News.Process_, News.Report_});
-  if (News.State_ == MemberState::Suspect)
-    fire(R, index(News.State_), News.Incarnation_, Now, Out);
+  Out.push_back({Kind::Joined, Update.Process_, nullptr});
+  if (Update.Report_)
+    Out.push_back({Kind::Reported, Update.Process_, Update.Report_});
+  if (Update.State_ == MemberState::Suspect)
+    fire(R, index(Update.State_), Update.Incarnation_, Now, Out);
 }
 
-// Before the state, so that one who is told of a return finds the new report.
-void MemberTable::mergeFacts(Record &R, const Member &News, Changes &Out) {
+// Called before the state changes, so that a listener notified of a return
+// already finds the new report.
+void MemberTable::mergeRevisionAndReport(Record &R, const Member &Update,
+                                         Changes &Out) {
   Member &Known = R.Member_;
-  bool Newer = News.Incarnation_ > Known.Incarnation_;
+  bool Newer = Update.Incarnation_ > Known.Incarnation_;
   if (Newer) {
-    Known.Role_ = News.Role_;
-    Known.Zone_ = News.Zone_;
-    Known.Address_ = News.Address_;
+    Known.Role_ = Update.Role_;
+    Known.Zone_ = Update.Zone_;
+    Known.Address_ = Update.Address_;
   }
-  if (News.Incarnation_ >= Known.Incarnation_ + RestartGap) {
+  if (Update.Incarnation_ >= Known.Incarnation_ + RestartGap) {
     Out.push_back({Kind::Restarted, Known.Process_, Known.Report_});
     Known.Report_ = nullptr;
   }
-  bool Later = Newer ? News.Revision_ != Known.Revision_
-                     : News.Incarnation_ == Known.Incarnation_ &&
-                           News.Revision_ > Known.Revision_;
+  bool Later = Newer ? Update.Revision_ != Known.Revision_
+                     : Update.Incarnation_ == Known.Incarnation_ &&
+                           Update.Revision_ > Known.Revision_;
   if (Later) {
-    Known.Revision_ = News.Revision_;
+    Known.Revision_ = Update.Revision_;
     Out.push_back({Kind::Revised, Known.Process_, nullptr});
   }
-  if (!News.Report_)
+  if (!Update.Report_)
     return;
-  if (Known.Report_ && !News.Report_->supersedes(*Known.Report_))
+  if (Known.Report_ && !Update.Report_->supersedes(*Known.Report_))
     return;
   bool LoadOnly =
-      Known.Report_ && !differBeyondLoad(*Known.Report_, *News.Report_);
-  Known.Report_ = News.Report_;
+      Known.Report_ && !differBeyondLoad(*Known.Report_, *Update.Report_);
+  Known.Report_ = Update.Report_;
   Out.push_back({Kind::Reported, Known.Process_, Known.Report_, LoadOnly});
 }
 
-MemberTable::Changes MemberTable::accuse(const ProcessName &Process,
-                                         TimePoint Now) {
+MemberTable::Changes MemberTable::suspect(const ProcessName &Process,
+                                          TimePoint Now) {
   Changes Out;
   auto Found = Records_.find(Process);
   if (Found == Records_.end())
@@ -177,12 +181,12 @@
   while (!Deadlines_.empty() && Deadlines_.begin()->first <= Now) {
     Record &R = Records_.at(Deadlines_.begin()->second);
     setDeadline(R, TimePoint::max());
-    fire(R, TimeIsUp, R.Member_.Incarnation_, Now, Out);
+    fire(R, DeadlinePassed, R.Member_.Incarnation_, Now, Out);
   }
   return Out;
 }
 
-void MemberTable::shift(Duration Gap) {
+void MemberTable::shiftDeadlines(Duration Gap) {
   std::set<std::pair<TimePoint, ProcessName>> Moved;
   for (const auto &[At, Process] : Deadlines_) {
     Records_.at(Process).Deadline_ = At + Gap;
@@ -204,29 +208,29 @@
   if (Step.Next_ != Forgotten)
     R.Member_.State_ = static_cast<MemberState>(Step.Next_);
   if (R.Member_.isLive() != WasLive) {
-    unplace(R, WasLive ? Live_ : Gone_);
-    place(R);
+    removeFromList(R, WasLive ? Live_ : Gone_);
+    addToList(R);
   }
   if (R.Member_.State_ == MemberState::Alive)
     setDeadline(R, TimePoint::max());
   for (std::size_t Each : Step.Actions_)
-    perform(R, Each, I, Now, Out);
+    runAction(R, Each, I, Now, Out);
 }
 
-void MemberTable::perform(Record &R, std::size_t Action, Incarnation I,
-                          TimePoint Now, Changes &Out) {
+void MemberTable::runAction(Record &R, std::size_t Action, Incarnation I,
+                            TimePoint Now, Changes &Out) {
   const ProcessName Process = R.Member_.Process_;
   switch (Action) {
   case TakeIncarnation:
     R.Member_.Incarnation_ = I;
     return;
   case StartSuspicion:
-    return setDeadline(R, Now + suspicion());
-  case StartKeeping:
-    return setDeadline(R, Now + Limits_.DeadKeep_);
+    return setDeadline(R, Now + suspicionTimeout());
+  case StartRetention:
+    return setDeadline(R, Now + Limits_.RetainGoneFor_);
   case Forget:
     setDeadline(R, TimePoint::max());
-    unplace(R, Gone_);
+    removeFromList(R, Gone_);
     ByMark_.erase(InForceSet::mark(Process));
     Records_.erase(Process);
     return;
@@ -251,16 +255,16 @@
     Deadlines_.emplace(At, R.Member_.Process_);
 }
 
-void MemberTable::place(Record &R) {
+void MemberTable::addToList(Record &R) {
   std::vector<ProcessName> &List = R.Member_.isLive() ? Live_ : Gone_;
-  R.Place_ = List.size();
+  R.ListIndex_ = List.size();
   List.push_back(R.Member_.Process_);
   ++Version_;
 }
 
-void MemberTable::unplace(Record &R, std::vector<ProcessName> &List) {
-  List[R.Place_] = List.back();
-  Records_.at(List[R.Place_]).Place_ = R.Place_;
+void MemberTable::removeFromList(Record &R, std::vector<ProcessName> &List) {
+  List[R.ListIndex_] = List.back();
+  Records_.at(List[R.ListIndex_]).ListIndex_ = R.ListIndex_;
   List.pop_back();
   ++Version_;
 }
--- a/hawthornroad/membership/Membership.h
+++ b/hawthornroad/membership/Membership.h
@@ -1,33 +1,38 @@
-// Membership of one process as a whole: table, probes and gossip together.
+// Membership protocol of one process: member table, failure detection and
+// gossip.
 //
 //   Membership M(Chart, Self, Setup, Rng);
 //   Membership::Output Out;
-//   M.setContacts(Seeds);
+//   M.setContacts(Membership::Source::Seeds, Seeds);
 //   M.tick(Now, Out);                       // every few tens of milliseconds
 //   M.handle(FromAddress, Probe, Now, Out); // each control message
 //   for (ControlSend &Each : Out.Sends_) ...
 //   for (const MemberChange &Each : Out.Changes_) ...
-//   for (const HeardRevision &Each : Out.Revisions_) ...
+//   for (const AdvertisedRevision &Each : Out.Revisions_) ...
 //
-// Joining. A new process sends a join probe to a few contacts (seeds, and the
-// platform's membership list, which lags and is only a hint where somebody may
-// be) and then to members it has heard of, every second until one answers. That
-// one sends its whole table, in paced messages. When many new members show up
-// soon after, it asks once more: a fleet that starts all at once would else
-// learn itself record by record.
+// Joining. A new process sends a join probe to a few contacts (the seeds, and
+// the platform's membership list, which lags and only hints at possible
+// members) and then to members it has learned of, every second until one
+// answers. That member sends its complete table in paced messages. When many
+// new members appear soon after, the process requests a table once more;
+// otherwise a fleet that starts all at once would learn its members one record
+// at a time.
 //
-// Spreading. News rides on probes and answers within MessageBudget_ bytes, and
-// each message also carries one record drawn from the table, so that a lost
-// word is made good in time. Urgent news (deaths, leaves, returns, changed
-// endpoints) is besides sent at once to EagerFanout_ random members, at most
-// EagerRate_ times a second, so that an outage of a zone makes no storm.
+// Dissemination. Updates are piggybacked on probes and acks within
+// MessageBudget_ bytes. Each message also carries one record drawn from the
+// table, so that lost updates are repaired over time. Urgent updates (deaths,
+// leaves, returns, changed endpoints) are in addition sent at once to
+// UrgentFanout_ random members, at most UrgentRate_ times a second, so that the
+// outage of a zone does not cause a message storm.
 //
-// Healing. Members held dead are probed at a low rate (Prober) and told what
-// is held of them; they refute, and word of that spreads. A contact that is no
-// live member's address is asked to join every ContactPeriod_.
+// Healing. Members held dead are probed at a low rate (Prober) and sent the
+// record held of them; they refute it, and the refutation spreads. A contact
+// whose address belongs to no live member is sent a join probe every
+// ContactPeriod_.
 //
-// Cost, whatever the size of the fleet: per probe period one probe sent and one
-// answered on average, each at most MessageBudget_ plus one record.
+// Cost, independent of the size of the fleet: on average one probe sent and one
+// answered per probe period, each of at most MessageBudget_ bytes plus one
+// record.
 
 #ifndef HAWTHORNROAD_MEMBERSHIP_MEMBERSHIP_H
 #define HAWTHORNROAD_MEMBERSHIP_MEMBERSHIP_H
@@ -45,8 +50,8 @@
 
 namespace hawthornroad {
 
-// A member that says it holds a configuration revision.
-struct HeardRevision {
+// A member that advertises that it holds a configuration revision.
+struct AdvertisedRevision {
   PeerAddress From_;
   Revision Revision_ = 0;
 };
@@ -58,43 +63,48 @@
     Prober::Limits Prober_;
     ReportPlan::Limits Report_;
     std::size_t MessageBudget_ = 512;
-    // Marks of processes with the revision in force, on one message.
-    std::size_t Marks_ = 64;
-    // Bytes of one message of a whole table, and how many wait at most.
+    // Maximum number of marks per message, each of a process in which the
+    // revision is in force.
+    std::size_t MarksPerMessage_ = 64;
+    // Bytes per message of a table transfer, and the maximum number of pending
+    // transfers.
     std::size_t SyncBudget_ = 16 * 1024;
     Duration SyncPeriod_ = Milliseconds(20);
     std::size_t MaxSyncs_ = 16;
-    // Of those that hear of a suspicion, so many tell the suspect at once; all
-    // would be a flood on it.
-    double Tellers_ = 32;
-    // Suspects reminded in one tick.
+    // Expected number of processes that notify a suspect directly when they
+    // learn of the suspicion; notifications from all of them would flood it.
+    double SuspectNotifiers_ = 32;
+    // Maximum number of suspects notified again in one tick.
     std::size_t MaxReminders_ = 8;
-    std::size_t EagerFanout_ = 3;
-    double EagerRate_ = 2;
-    double EagerBurst_ = 6;
-    // Members of one message whose joining is passed on; a message of more is
-    // part of a whole table.
-    std::size_t MaxNews_ = 16;
-    // New members heard of since the last table came that make this process
-    // ask for another: many join at once, and gossip would take long.
-    std::size_t MassJoin_ = 8;
+    std::size_t UrgentFanout_ = 3;
+    double UrgentRate_ = 2;
+    double UrgentBurst_ = 6;
+    // A message with more members is part of a table transfer, and the members
+    // that it adds are not passed on.
+    std::size_t MaxRelayedJoins_ = 16;
+    // Number of new members since the last table transfer after which this
+    // process requests another one: many join at once, and gossip would take
+    // long.
+    std::size_t ResyncAfterJoins_ = 8;
     std::size_t JoinFanout_ = 2;
     Duration JoinPeriod_ = Seconds(1);
     Duration ContactPeriod_ = Seconds(10);
-    // Relayed probes that await an answer.
+    // Maximum number of relayed probes that await an answer.
     std::size_t MaxRelays_ = 256;
-    // A gap between ticks as long as this means this process was paused.
+    // A gap between ticks of at least this length means that this process was
+    // paused.
     Duration PauseAfter_ = Milliseconds(500);
   };
   struct Output {
     std::vector<ControlSend> Sends_;
     std::vector<MemberChange> Changes_;
-    std::vector<HeardRevision> Revisions_;
+    std::vector<AdvertisedRevision> Revisions_;
   };
 
   Membership(Chart C, Member Self, const Setup &S, Random Rng);
 
-  // Addresses where members may be found; replaces those of the same Source.
+  // Sets the addresses where members may be found; replaces those of the same
+  // Source.
   enum class Source { Seeds, PlatformList };
   void setContacts(Source From, std::vector<PeerAddress> Contacts);
 
@@ -108,11 +118,13 @@
   void handle(const PeerAddress &From, const ReportMessage &M, TimePoint Now,
               Output &Out);
 
-  // What this process's endpoint is now (agents).
+  // Sets the current status of the endpoint of this process (agents).
   void publish(const EndpointStatus &Status, TimePoint Now, Output &Out);
-  // Tells the zone's entries and a few others at once.
+  // Announces the leave at once to the entries of the zone and a few other
+  // members.
   void leave(TimePoint Now, Output &Out);
-  // The revision it holds, told in every message, and the one in force here.
+  // Sets the revision held, which every message advertises, and the one in
+  // force in this process.
   void setRevisions(Revision Held, Revision InForce);
 
   const MemberTable &table() const { return Table_; }
@@ -124,43 +136,46 @@
 
 private:
   struct Relay {
-    PeerAddress Asker_;
+    PeerAddress Requester_;
     std::uint64_t Sequence_ = 0;
     ProcessName Target_;
     TimePoint Until_;
   };
   struct Sync {
     PeerAddress To_;
-    std::deque<ProcessName> Left_;
+    std::deque<ProcessName> Remaining_;
   };
 
-  // Whether a member said that this process is not alive.
-  bool learn(const PeerAddress &From, const std::vector<Member> &Members,
-             Revision Held, const std::vector<std::uint32_t> &Marks,
-             TimePoint Now, Output &Out);
-  // PassOn: whether a new member is news for others.
-  void note(const MemberTable::Changes &Changes, bool PassOn, TimePoint Now,
-            Output &Out);
-  void noteOne(const MemberChange &C, bool PassOn, TimePoint Now, Output &Out);
-  void noteSuspected(const MemberChange &C, TimePoint Now, Output &Out);
-  void noteJoined(const MemberChange &C, bool PassOn, TimePoint Now);
-  void sendProbe(const Prober::Order &O, Output &Out);
+  // Returns whether an update held this process not alive.
+  bool processUpdates(const PeerAddress &From,
+                      const std::vector<Member> &Members, Revision Held,
+                      const std::vector<std::uint32_t> &Marks, TimePoint Now,
+                      Output &Out);
+  // PassOn: whether new members are gossiped further.
+  void handleChanges(const MemberTable::Changes &Changes, bool PassOn,
+                     TimePoint Now, Output &Out);
+  void handleChange(const MemberChange &C, bool PassOn, TimePoint Now,
+                    Output &Out);
+  void handleSuspected(const MemberChange &C, TimePoint Now, Output &Out);
+  void handleJoined(const MemberChange &C, bool PassOn, TimePoint Now);
+  void sendProbe(const Prober::ProbeRequest &O, Output &Out);
   void relay(const PeerAddress &From, const ProbeMessage &M, TimePoint Now,
              Output &Out);
-  void answer(const PeerAddress &To, std::uint64_t Sequence,
-              const ProcessName &Process, const ProcessName &Reader,
-              Output &Out);
-  std::vector<Member> news(const ProcessName &Reader);
-  void tellOf(const ProcessName &About, const PeerAddress &To, Output &Out);
+  void sendAck(const PeerAddress &To, std::uint64_t Sequence,
+               const ProcessName &Process, const ProcessName &Reader,
+               Output &Out);
+  std::vector<Member> gossipMembers(const ProcessName &Reader);
+  void sendRecordOf(const ProcessName &About, const PeerAddress &To,
+                    Output &Out);
   void remindSuspects(TimePoint Now, Output &Out);
   std::vector<std::uint32_t> marks();
-  void tellOfSelf(const PeerAddress &To, Output &Out);
-  void spreadEagerly(TimePoint Now, Output &Out);
-  void seekContacts(TimePoint Now, Output &Out);
+  void sendOwnRecord(const PeerAddress &To, Output &Out);
+  void sendUrgentGossip(TimePoint Now, Output &Out);
+  void probeContacts(TimePoint Now, Output &Out);
   void sendReport(TimePoint Now, Output &Out);
-  void askToJoin(const PeerAddress &To, Output &Out);
+  void sendJoinProbe(const PeerAddress &To, Output &Out);
   bool beginSync(const PeerAddress &To);
-  void pumpSyncs(TimePoint Now, Output &Out);
+  void sendSyncs(TimePoint Now, Output &Out);
   std::size_t transmits() const;
 
   Setup Setup_;
@@ -171,19 +186,19 @@
   ReportPlan Plan_;
   Revision Held_ = 0;
   InForceSet InForce_;
-  // Suspects to be told again, and when.
+  // Suspects to notify again, and when.
   std::set<std::pair<TimePoint, ProcessName>> Reminders_;
   std::set<PeerAddress> Contacts_[2];
   std::map<std::uint64_t, Relay> Relays_;
   std::uint64_t LastRelay_;
   std::deque<Sync> Syncs_;
   TimePoint NextSync_{};
-  // Whether a member has begun to send its table here.
+  // Whether a member has started to send its table to this process.
   bool Joined_ = false;
   std::size_t JoinedSince_ = 0;
   TimePoint NextContact_{};
   TimePoint LastTick_{};
-  double EagerTokens_ = 0;
+  double UrgentTokens_ = 0;
 };
 
 } // namespace hawthornroad
--- a/hawthornroad/membership/Prober.cpp
+++ b/hawthornroad/membership/Prober.cpp
@@ -11,10 +11,10 @@
   return Outstanding_.erase(Sequence) > 0;
 }
 
-void Prober::forgetOutstanding() { Outstanding_.clear(); }
+void Prober::dropOutstanding() { Outstanding_.clear(); }
 
-Prober::Orders Prober::tick(const MemberTable &Table, TimePoint Now) {
-  Orders Out;
+Prober::ProbeActions Prober::tick(const MemberTable &Table, TimePoint Now) {
+  ProbeActions Out;
   for (auto Next = Outstanding_.begin(); Next != Outstanding_.end();) {
     auto &[Sequence, Each] = *Next;
     if (Now <
@@ -28,19 +28,20 @@
     Next = Outstanding_.erase(Next);
   }
   for (const ProcessName &Each : Out.Unanswered_)
-    if (Accused_.size() < Limits_.MaxAccused_)
-      Accused_.insert(Each);
+    if (Suspects_.size() < Limits_.MaxSuspects_)
+      Suspects_.insert(Each);
   if (Now >= NextPeriod_)
     beginPeriod(Table, Now, Out);
   return Out;
 }
 
-void Prober::beginPeriod(const MemberTable &Table, TimePoint Now, Orders &Out) {
-  // Jittered, so that processes started together do not probe in step.
+void Prober::beginPeriod(const MemberTable &Table, TimePoint Now,
+                         ProbeActions &Out) {
+  // Jittered, so that processes started together do not probe at the same time.
   NextPeriod_ = Now + Rng_.jitter(Limits_.Period_, 0.1);
   ++Periods_;
-  probeAccused(Table, Now, Out);
-  if (const Member *Turn = nextTurn(Table))
+  probeSuspects(Table, Now, Out);
+  if (const Member *Turn = nextTarget(Table))
     probe(Turn->Process_, false, Now, Out);
   if (Periods_ % Limits_.GoneEvery_ != 0)
     return;
@@ -48,12 +49,12 @@
     probe(Gone->Process_, true, Now, Out);
 }
 
-void Prober::probeAccused(const MemberTable &Table, TimePoint Now,
-                          Orders &Out) {
-  for (auto Next = Accused_.begin(); Next != Accused_.end();) {
-    const Member *Accused = Table.find(*Next);
-    if (Accused == nullptr || Accused->State_ != MemberState::Suspect) {
-      Next = Accused_.erase(Next);
+void Prober::probeSuspects(const MemberTable &Table, TimePoint Now,
+                           ProbeActions &Out) {
+  for (auto Next = Suspects_.begin(); Next != Suspects_.end();) {
+    const Member *Found = Table.find(*Next);
+    if (Found == nullptr || Found->State_ != MemberState::Suspect) {
+      Next = Suspects_.erase(Next);
       continue;
     }
     probe(*Next, false, Now, Out);
@@ -62,7 +63,7 @@
 }
 
 void Prober::probe(const ProcessName &Target, bool Gone, TimePoint Now,
-                   Orders &Out) {
+                   ProbeActions &Out) {
   if (Outstanding_.size() >= Limits_.MaxOutstanding_)
     return;
   std::uint64_t Sequence = ++LastSequence_;
@@ -71,22 +72,24 @@
 }
 
 void Prober::retry(std::uint64_t Sequence, Outstanding &O,
-                   const MemberTable &Table, TimePoint Now, Orders &Out) {
+                   const MemberTable &Table, TimePoint Now, ProbeActions &Out) {
   TimePoint Due = O.Sent_ + Limits_.Timeout_ + O.Retried_ * Limits_.Period_;
   if (O.Gone_ || Now < Due)
     return;
   if (O.Retried_ == 0)
-    askOthers(Sequence, O.Process_, Table, Out);
+    requestIndirectProbes(Sequence, O.Process_, Table, Out);
   else
     Out.Probes_.push_back({Sequence, O.Process_, {}, false});
   ++O.Retried_;
 }
 
-void Prober::askOthers(std::uint64_t Sequence, const ProcessName &Target,
-                       const MemberTable &Table, Orders &Out) {
+void Prober::requestIndirectProbes(std::uint64_t Sequence,
+                                   const ProcessName &Target,
+                                   const MemberTable &Table,
+                                   ProbeActions &Out) {
   Out.Probes_.push_back({Sequence, Target, {}, true});
   std::set<ProcessName> Asked;
-  // Draws may repeat or hit the target; a few more make up for it.
+  // A draw may repeat or return the target; additional draws compensate.
   for (std::size_t Draw = 0; Draw < 3 * Limits_.Indirect_; ++Draw) {
     const Member *Helper = Table.randomLive(Rng_);
     if (Helper == nullptr || Asked.size() == Limits_.Indirect_)
@@ -98,15 +101,16 @@
   }
 }
 
-const Member *Prober::nextTurn(const MemberTable &Table) {
+const Member *Prober::nextTarget(const MemberTable &Table) {
   bool Other = Periods_ % Limits_.OtherZoneEvery_ == 0;
-  if (const Member *Turn = nextOf(Other ? OtherRing_ : OwnRing_, !Other, Table))
+  if (const Member *Turn =
+          nextInRing(Other ? OtherRing_ : OwnRing_, !Other, Table))
     return Turn;
-  return nextOf(Other ? OwnRing_ : OtherRing_, Other, Table);
+  return nextInRing(Other ? OwnRing_ : OtherRing_, Other, Table);
 }
 
-const Member *Prober::nextOf(std::vector<ProcessName> &Ring, bool OwnZone,
-                             const MemberTable &Table) {
+const Member *Prober::nextInRing(std::vector<ProcessName> &Ring, bool OwnZone,
+                                 const MemberTable &Table) {
   for (bool Refilled = false;;) {
     while (!Ring.empty()) {
       ProcessName Next = std::move(Ring.back());
--- a/hawthornroad/membership/ReportPlan.cpp
+++ b/hawthornroad/membership/ReportPlan.cpp
@@ -6,7 +6,7 @@
 
 namespace hawthornroad {
 
-bool ReportPlan::isNews(const EndpointStatus &Status) const {
+bool ReportPlan::isUrgent(const EndpointStatus &Status) const {
   return differBeyondLoad(Status, Last_);
 }
 
@@ -15,12 +15,12 @@
                                              TimePoint Now) {
   if (Version_ != Table.version())
     refresh(Status, Table);
-  bool News = isNews(Status);
-  if (!News && Now < NextLoad_)
+  bool Urgent = isUrgent(Status);
+  if (!Urgent && Now < NextLoad_)
     return {};
   Last_ = Status;
   NextLoad_ = Now + Period_;
-  return News ? Entries_ : Chosen_;
+  return Urgent ? Entries_ : Chosen_;
 }
 
 void ReportPlan::refresh(const EndpointStatus &Status,
@@ -42,7 +42,8 @@
   };
   Chosen_.clear();
   Entries_.clear();
-  for (std::size_t I : rendezvousTop(Status.Vm_.str(), Names, Limits_.Direct_))
+  for (std::size_t I :
+       rendezvousTop(Status.Vm_.str(), Names, Limits_.DirectEntries_))
     Chosen_.push_back(AddressOf(I));
   for (std::size_t I :
        rendezvousTop(Status.Vm_.str(), Names, Limits_.MaxUrgent_))
@@ -50,11 +51,11 @@
   Period_ = Limits_.Period_;
   if (Names.empty())
     return;
-  double Heard = static_cast<double>(Agents * Chosen_.size()) /
-                 static_cast<double>(Names.size());
-  auto Least = std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(Heard / Limits_.PerEntry_));
-  Period_ = std::max(Period_, Least);
+  double AgentsPerEntry = static_cast<double>(Agents * Chosen_.size()) /
+                          static_cast<double>(Names.size());
+  auto MinPeriod = std::chrono::duration_cast<Duration>(
+      std::chrono::duration<double>(AgentsPerEntry / Limits_.MaxRatePerEntry_));
+  Period_ = std::max(Period_, MinPeriod);
 }
 
 } // namespace hawthornroad
--- a/tests/integration/MembershipTest.cpp
+++ b/tests/integration/MembershipTest.cpp
@@ -1,4 +1,4 @@
-// Membership without a coordinator: deaths, pauses, leaves.
+// Membership without a coordinator: deaths, pauses and leaves.
 
 #include "tests/integration/ControlFixture.h"
 
@@ -6,9 +6,9 @@
 
 using namespace hawthornroad;
 
-// A VM dies, and the platform's membership list goes on listing it as live.
-// Entries must stop choosing it by their own word within seconds; and its
-// replacement, at another address, must come in.
+// A VM dies while the platform's membership list still lists it as live.
+// Entries must detect the death themselves within seconds and stop choosing it;
+// its replacement, at another address, must join.
 TEST_CASE_METHOD(ControlFixture,
                  "agent that dies is dead to every process, and its "
                  "replacement is alive to every one",
@@ -24,9 +24,10 @@
   awaitAllAlive();
 }
 
-// A VM is frozen for some seconds, as by a snapshot, and thaws. It was rightly
-// held dead; nobody restarts it, so it must refute by itself, and it must not
-// hold the rest of the fleet dead for the answers it slept through.
+// A VM is frozen for some seconds, as by a snapshot, and resumes. The others
+// rightly hold it dead; nobody restarts it, so it must refute this by itself,
+// and it must not hold the rest of the fleet dead because of the answers it
+// missed.
 TEST_CASE_METHOD(ControlFixture,
                  "process frozen until it is held dead comes back when it "
                  "thaws, and holds nobody dead",
@@ -49,8 +50,8 @@
   awaitRevision(Second);
 }
 
-// A planned stop: the process says that it leaves, and nobody has to wait for
-// a suspicion to run out.
+// A planned stop: the process announces its leave, and nobody has to wait for a
+// suspicion timeout.
 TEST_CASE_METHOD(ControlFixture,
                  "agent that is stopped as planned has left, to every process",
                  "[membership]") {
--- a/tests/unit/ControlCoreTest.cpp
+++ b/tests/unit/ControlCoreTest.cpp
@@ -16,7 +16,7 @@
 struct Fleet {
   explicit Fleet(ControlLoop::Options O) : Loop_(O, memberChart()) {}
 
-  // Whether each node that is up holds each other one that is up for live.
+  // Whether every running node holds every other running node live.
   bool allKnowAll() {
     std::size_t Up = 0;
     for (std::size_t I = 0; I < Loop_.size(); ++I)
@@ -51,7 +51,7 @@
         Count += Change.Kind_ == K ? 1 : 0;
     return Count;
   }
-  bool neverLower() {
+  bool revisionsNeverDecrease() {
     return each([](ControlLoop::Node &N) {
       return std::is_sorted(N.InForce_.begin(), N.InForce_.end());
     });
@@ -78,10 +78,10 @@
   CHECK(F.count(Kind::Died) == 0);
 }
 
-// A member's VM dies. Requests go on being routed to it until each entry has
-// noticed; nobody may wait for the platform's list to say so.
-TEST_CASE("member that dies is dead to everybody within seconds, and its "
-          "successor comes in",
+// A member's VM dies. Requests are routed to it until each entry has detected
+// the death, so detection must not depend on the platform's membership list.
+TEST_CASE("member that dies is dead to everybody within seconds, and "
+          "its successor joins",
           "[controlcore]") {
   Fleet F({.Nodes_ = 24, .Zones_ = 3, .Seed_ = 3});
   F.join();
@@ -97,11 +97,11 @@
   CHECK(F.Loop_.runUntil([&] { return F.allKnowAll(); }, Seconds(10)));
 }
 
-// A VM is frozen just after it has sent a probe, for longer than a suspicion
-// lasts; its connections are lost meanwhile, the answer with them. The others
-// rightly held it dead; it must come back without anybody's help, and must not
-// itself suspect others for the answers it slept through.
-TEST_CASE("frozen member, once thawed, refutes and accuses nobody",
+// A VM is frozen just after sending a probe, for longer than the suspicion
+// timeout. Its connections are lost meanwhile, and the answer with them. The
+// others rightly hold it dead; it must come back by itself, and must not
+// suspect others because of the answers it missed.
+TEST_CASE("frozen member, once thawed, refutes and suspects nobody",
           "[controlcore]") {
   Fleet F({.Nodes_ = 12, .Zones_ = 2, .Seed_ = 4});
   F.join();
@@ -114,7 +114,7 @@
   F.Loop_.run(Seconds(12));
   CHECK(F.stateAt(0, 5) == MemberState::Dead);
   F.Loop_.Observer_ = nullptr;
-  Frozen.Held_.clear();
+  Frozen.Pending_.clear();
   Frozen.Changes_.clear();
   F.Loop_.thaw(Frozen);
   CHECK(F.Loop_.runUntil([&] { return F.allKnowAll(); }, Seconds(10)));
@@ -124,18 +124,19 @@
   }
 }
 
-// A zone is cut off from the others and from the platform for a minute. Each
-// side holds the other dead. When the cut heals, word of those deaths meets
-// members that are alive; it must not empty either side's view of itself, and
-// both sides find each other and the highest revision.
-TEST_CASE("cut zone keeps its own view, and a healed cut converges",
+// A zone is partitioned from the other zones and from the platform for a
+// minute, and each side holds the other dead. When the partition heals, updates
+// about those deaths reach members that are alive. They must not empty the view
+// of either side, and both sides must find each other and the highest revision.
+TEST_CASE("partitioned zone keeps its own view, and all zones "
+          "converge once it heals",
           "[controlcore]") {
   auto Seed = GENERATE(range<std::uint64_t>(1, 6));
   Fleet F({.Nodes_ = 24, .Zones_ = 3, .Seed_ = Seed});
   F.Loop_.accept();
   F.join();
   F.Loop_.run(Seconds(2));
-  F.Loop_.cut({0}, true);
+  F.Loop_.partition({0}, true);
   F.Loop_.accept();
   F.Loop_.run(Seconds(60));
   for (std::size_t I = 0; I < 24; ++I)
@@ -148,16 +149,16 @@
   CHECK(F.Loop_.node(1).Core_->config().log().revision() == 2);
   for (std::size_t I = 0; I < 24; ++I)
     F.Loop_.node(I).Changes_.clear();
-  F.Loop_.cut({}, false);
+  F.Loop_.partition({}, false);
   CHECK(F.Loop_.runUntil([&] { return F.allKnowAll() && F.allHold(2); },
                          Seconds(60)));
   CHECK(F.count(Kind::Died) == 0);
-  CHECK(F.neverLower());
+  CHECK(F.revisionsNeverDecrease());
 }
 
-// An operator's change is accepted and the platform goes down at once, then
-// comes back answering from an old copy. Whoever has the revision keeps it, and
-// everybody gets it from there.
+// A change is accepted and the platform fails at once, then comes back with a
+// stale copy. Processes that have the revision keep it, and all others get it
+// from them.
 TEST_CASE("revision read by one process spreads while the platform is down, "
           "and a stale copy reverts nothing",
           "[controlcore]") {
@@ -176,14 +177,15 @@
   F.Loop_.TableUp_ = false;
   CHECK(F.Loop_.runUntil([&] { return F.allHold(Next); }, Seconds(5)));
   F.Loop_.TableUp_ = true;
-  F.Loop_.TableShows_ = 1;
+  F.Loop_.VisibleRecords_ = 1;
   F.Loop_.run(Seconds(20));
   CHECK(F.allHold(Next));
-  CHECK(F.neverLower());
+  CHECK(F.revisionsNeverDecrease());
 }
 
-// All processes of a zone are replaced while the platform is down. Each new
-// one is ready only when it holds what its peers in the other zones hold.
+// All processes of a zone are replaced while the platform is down. A new
+// process is ready only when it holds the revision that its peers in the other
+// zones hold.
 TEST_CASE("zone replaced while the platform is down is ready with the highest "
           "revision only",
           "[controlcore]") {
@@ -209,9 +211,10 @@
   CHECK_FALSE(ReadyTooEarly);
 }
 
-// The platform is down for ten minutes. Readers must not pile up reads, nor
-// return all at once.
-TEST_CASE("platform down for long is read ever less, and again when it is back",
+// The platform is down for ten minutes. Readers must not accumulate reads, nor
+// resume all at once.
+TEST_CASE("platform down for long is read less often, and again when "
+          "it is back",
           "[controlcore]") {
   Fleet F({.Nodes_ = 24, .Zones_ = 3, .Seed_ = 8});
   F.join();
@@ -220,21 +223,23 @@
   F.Loop_.run(Seconds(60));
   std::uint64_t Before = F.Loop_.TableReads_;
   F.Loop_.run(Seconds(540));
-  // 9 readers, at least every 5 s when the wait of 10 s is drawn shortest.
+  // 9 readers, each with an interval of at least 5 s: the wait of 10 s at its
+  // shortest jitter.
   CHECK(F.Loop_.TableReads_ - Before <= 9 * 540 / 5);
   F.Loop_.accept();
   F.Loop_.TableUp_ = true;
   CHECK(F.Loop_.runUntil([&] { return F.allHold(1); }, Seconds(16)));
 }
 
-TEST_CASE("fleet under a fifth of messages lost and late keeps its members",
+TEST_CASE("fleet with a fifth of messages lost and a fifth late keeps "
+          "its members",
           "[controlcore]") {
   Fleet F({.Nodes_ = 24,
            .Zones_ = 3,
            .Seed_ = 9,
            .Loss_ = 0.2,
-           .Late_ = 0.2,
-           .LateBy_ = Milliseconds(400)});
+           .LateShare_ = 0.2,
+           .ExtraDelay_ = Milliseconds(400)});
   F.Loop_.accept();
   F.join();
   F.Loop_.run(Seconds(120));
@@ -242,12 +247,12 @@
   CHECK(F.Loop_.runUntil([&] { return F.allKnowAll(); }, Seconds(30)));
 }
 
-// An endpoint becomes ready while its zone is cut off for a moment. News is
-// sent a few times only, all of them lost, and an entry of another zone would
-// hold the endpoint for starting, and send no request there, until chance mends
-// it.
-TEST_CASE("endpoint's news, lost on its way, reaches an entry of another zone "
-          "soon after",
+// An endpoint becomes ready while its zone is partitioned for a short time. Its
+// update is gossiped only a few times, and all of these messages are lost. An
+// entry of another zone would then take the endpoint for a starting one and
+// send it no requests until a randomly drawn record corrects that.
+TEST_CASE("endpoint report, lost on its way, reaches an entry of "
+          "another zone soon after",
           "[control]") {
   for (std::uint64_t Seed = 1; Seed <= 20; ++Seed) {
     CAPTURE(Seed);
@@ -257,10 +262,10 @@
              .Seed_ = Seed,
              .LoadPeriod_ = std::chrono::hours(1)});
     F.join();
-    F.Loop_.cut({0}, false);
+    F.Loop_.partition({0}, false);
     F.Loop_.EndpointsReport_ = true;
     F.Loop_.run(Milliseconds(1200));
-    F.Loop_.cut({}, false);
+    F.Loop_.partition({}, false);
     ControlLoop::Node &Entry = F.Loop_.node(1);
     ControlLoop::Node &Agent = F.Loop_.node(2);
     auto Knows = [&] {
--- a/tests/unit/ControlLoop.h
+++ b/tests/unit/ControlLoop.h
@@ -1,10 +1,11 @@
-// Many ControlCores in one thread, joined by a deterministic message loop with
-// delay, loss and cuts, and a table in memory. For unit tests and the bench.
+// Many ControlCores in one thread, connected by a deterministic message loop
+// with delays, message loss and network partitions, and an in-memory table. For
+// unit tests and benchmarks.
 //
 //   ControlLoop Loop({.Nodes_ = 32, .Zones_ = 4, .Seed_ = 1});
 //   Loop.run(Seconds(10));
 //   Loop.accept();                        // one more revision
-//   Loop.cut({0}, true);                  // zone 0 alone
+//   Loop.partition({0}, true);            // isolates zone 0
 //   Loop.node(3).Up_ = false;
 
 #ifndef HAWTHORNROAD_TESTS_UNIT_CONTROLLOOP_H
@@ -35,10 +36,10 @@
     Duration Tick_ = Milliseconds(20);
     Duration Delay_ = Milliseconds(1);
     double Loss_ = 0;
-    // This share of messages takes LateBy_ longer.
-    double Late_ = 0;
-    Duration LateBy_ = Milliseconds(0);
-    // Whether agents report their endpoints, and how often the load changes.
+    // This share of the messages is delayed by ExtraDelay_ in addition.
+    double LateShare_ = 0;
+    Duration ExtraDelay_ = Milliseconds(0);
+    // Period at which the agents report a changed load (EndpointsReport_).
     Duration LoadPeriod_ = Duration::zero();
   };
   struct Node {
@@ -47,18 +48,19 @@
     ProcessName Name_;
     PeerAddress Address_;
     bool Up_ = true;
-    // Frozen: neither ticks nor handles; messages wait as in socket buffers.
+    // Frozen: neither ticks nor handles messages; they wait as in socket
+    // buffers.
     bool Frozen_ = false;
     std::unique_ptr<ControlCore> Core_;
     std::vector<Revision> InForce_;
     std::vector<std::pair<MemberChange, TimePoint>> Changes_;
-    std::vector<std::pair<PeerAddress, ControlMessage>> Held_;
+    std::vector<std::pair<PeerAddress, ControlMessage>> Pending_;
     std::uint64_t Sequence_ = 0;
     TimePoint NextLoad_{};
   };
-  // Sees each message sent, before loss.
+  // Called for each message sent, before any loss.
   using Observer = std::function<void(const Node &, const ControlSend &)>;
-  // Wraps each call into a core: (what, call).
+  // Called with each call into a core, which it has to run.
   using Meter = std::function<void(const std::function<void()> &)>;
 
   ControlLoop(Options O, const Chart &C)
@@ -90,7 +92,7 @@
       S.Seeds_.push_back(Nodes_[1]->Address_);
     N.Core_ = std::make_unique<ControlCore>(Chart_, S, Random(Rng_.next()));
     N.Up_ = true;
-    N.Held_.clear();
+    N.Pending_.clear();
     N.Core_->start(Now_);
     Duration First = std::chrono::duration_cast<Duration>(
         std::chrono::duration<double>(Options_.Tick_) * Rng_.unit());
@@ -108,7 +110,7 @@
     Now_ = Until;
   }
 
-  // Runs until Holds or the limit; whether it came to hold.
+  // Runs until Holds returns true or Limit has passed; returns whether it held.
   bool runUntil(const std::function<bool()> &Holds, Duration Limit) {
     for (TimePoint Until = Now_ + Limit; Now_ < Until; run(Milliseconds(20)))
       if (Holds())
@@ -116,7 +118,7 @@
     return Holds();
   }
 
-  // Accepts one more change into the table.
+  // Appends one more accepted change to the table.
   Revision accept() {
     Revision Next = Records_.size() + 1;
     boost::json::value Text = Text_;
@@ -132,17 +134,17 @@
     return Next;
   }
 
-  // Zones cut off from all others (and from the table when WithTable).
-  void cut(std::set<std::size_t> Zones, bool WithTable) {
-    Cut_ = std::move(Zones);
-    CutTable_ = WithTable;
+  // Isolates Zones from all others (and from the table if WithTable).
+  void partition(std::set<std::size_t> Zones, bool WithTable) {
+    IsolatedZones_ = std::move(Zones);
+    IsolatedFromTable_ = WithTable;
   }
 
   void thaw(Node &N) {
     N.Frozen_ = false;
-    auto Held = std::move(N.Held_);
-    N.Held_.clear();
-    for (auto &[From, Message] : Held)
+    auto Pending = std::move(N.Pending_);
+    N.Pending_.clear();
+    for (auto &[From, Message] : Pending)
       deliver(N, From, Message);
   }
 
@@ -153,11 +155,11 @@
     if (Found == ByAddress_.end() || Rng_.unit() < Options_.Loss_)
       return;
     Node &To = *Nodes_[Found->second];
-    if (Cut_.count(From.Zone_) != Cut_.count(To.Zone_))
+    if (IsolatedZones_.count(From.Zone_) != IsolatedZones_.count(To.Zone_))
       return;
     Duration Delay = Rng_.jitter(Options_.Delay_, 0.5);
-    if (Options_.Late_ > 0 && Rng_.unit() < Options_.Late_)
-      Delay += Options_.LateBy_;
+    if (Options_.LateShare_ > 0 && Rng_.unit() < Options_.LateShare_)
+      Delay += Options_.ExtraDelay_;
     push(Now_ + Delay,
          [this, &To, Address = From.Address_, Message = Send.Message_] {
            deliver(To, Address, Message);
@@ -172,13 +174,13 @@
   }
   Options &options() { return Options_; }
 
-  // Settings of cores booted later; reboot all after a change.
+  // Settings of cores booted from now on; after a change, boot all nodes again.
   ControlCore::Setup Setup_;
   Observer Observer_;
   Meter Meter_;
-  // The table: whether it answers, and how many of its records it shows.
+  // The table: whether it answers, and how many of its records it returns.
   bool TableUp_ = true;
-  std::size_t TableShows_ = SIZE_MAX;
+  std::size_t VisibleRecords_ = SIZE_MAX;
   std::uint64_t TableReads_ = 0;
   bool EndpointsReport_ = false;
 
@@ -243,7 +245,7 @@
     if (!N.Up_)
       return;
     if (N.Frozen_) {
-      N.Held_.emplace_back(From, M);
+      N.Pending_.emplace_back(From, M);
       return;
     }
     ControlCore::Output Out;
@@ -270,8 +272,9 @@
     ++TableReads_;
     ConfigAnswer A;
     A.Id_ = Read.Id_;
-    A.Answered_ = TableUp_ && !(CutTable_ && Cut_.count(N.Zone_) != 0);
-    std::size_t Shown = std::min(Records_.size(), TableShows_);
+    A.Answered_ =
+        TableUp_ && !(IsolatedFromTable_ && IsolatedZones_.count(N.Zone_) != 0);
+    std::size_t Shown = std::min(Records_.size(), VisibleRecords_);
     for (std::size_t I = 0; A.Answered_ && I < Shown; ++I) {
       std::string Key = revisionKey(I + 1);
       bool Wanted = Read.Kind_ == ConfigRead::Kind::Next ? Key == Read.Key_
@@ -300,8 +303,8 @@
                       std::vector<std::shared_ptr<Event>>, Later>
       Events_;
   std::uint64_t Order_ = 0;
-  std::set<std::size_t> Cut_;
-  bool CutTable_ = false;
+  std::set<std::size_t> IsolatedZones_;
+  bool IsolatedFromTable_ = false;
   std::vector<std::string> Records_;
   boost::json::value Text_ = boost::json::object();
 };
--- a/tests/unit/MemberTableTest.cpp
+++ b/tests/unit/MemberTableTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-Member word(State S, Incarnation I, Revision R = 0) {
+Member memberUpdate(State S, Incarnation I, Revision R = 0) {
   Member M;
   M.Process_ = ProcessName("x");
   M.Incarnation_ = I;
@@ -39,41 +39,41 @@
     M.Incarnation_ = 10;
     return M;
   }
-  std::vector<std::string> hear(const Member &M) {
+  std::vector<std::string> applyUpdate(const Member &M) {
     std::vector<std::string> Out;
-    for (const MemberChange &Each : Table_.hear(M, Now_))
+    for (const MemberChange &Each : Table_.applyUpdate(M, Now_))
       Out.emplace_back(toString(Each.Kind_));
     return Out;
   }
   const Member &x() { return *Table_.find(ProcessName("x")); }
-  void pass(Duration D) {
+  void advance(Duration D) {
     Now_ += D;
     Table_.tick(Now_);
   }
 };
 
-struct WordCase {
-  State Held_;
-  Incarnation HeldAt_;
-  State Heard_;
-  Incarnation HeardAt_;
-  State Then_;
-  Incarnation ThenAt_;
+struct UpdateCase {
+  State HeldState_;
+  Incarnation HeldIncarnation_;
+  State NewState_;
+  Incarnation NewIncarnation_;
+  State ExpectedState_;
+  Incarnation ExpectedIncarnation_;
 };
 
 } // namespace
 
 TEST_CASE_METHOD(TableFixture,
-                 "word of a member, by state and incarnation, is believed or "
-                 "not",
+                 "update of a member is applied or ignored by state and "
+                 "incarnation",
                  "[membertable]") {
-  auto C = GENERATE(values<WordCase>({
+  auto C = GENERATE(values<UpdateCase>({
       {State::Alive, 5, State::Alive, 4, State::Alive, 5},
       {State::Alive, 5, State::Alive, 6, State::Alive, 6},
       {State::Alive, 5, State::Suspect, 4, State::Alive, 5},
       {State::Alive, 5, State::Suspect, 5, State::Suspect, 5},
       {State::Alive, 5, State::Dead, 4, State::Alive, 5},
-      // Hearsay of a death is only a suspicion here.
+      // A death reported by another member is only a suspicion here.
       {State::Alive, 5, State::Dead, 5, State::Suspect, 5},
       {State::Alive, 5, State::Left, 5, State::Left, 5},
       {State::Alive, 5, State::Left, 4, State::Alive, 5},
@@ -91,31 +91,31 @@
       {State::Left, 5, State::Dead, 5, State::Left, 5},
       {State::Left, 5, State::Alive, 6, State::Alive, 6},
   }));
-  hear(word(C.Held_, C.HeldAt_));
-  REQUIRE(x().State_ == C.Held_);
+  applyUpdate(memberUpdate(C.HeldState_, C.HeldIncarnation_));
+  REQUIRE(x().State_ == C.HeldState_);
   for (int Times = 0; Times < 2; ++Times) {
-    hear(word(C.Heard_, C.HeardAt_));
-    CHECK(x().State_ == C.Then_);
-    CHECK(x().Incarnation_ == C.ThenAt_);
+    applyUpdate(memberUpdate(C.NewState_, C.NewIncarnation_));
+    CHECK(x().State_ == C.ExpectedState_);
+    CHECK(x().Incarnation_ == C.ExpectedIncarnation_);
   }
-  bool Live = C.Then_ <= State::Suspect;
+  bool Live = C.ExpectedState_ <= State::Suspect;
   CHECK(Table_.live().size() == (Live ? 1 : 0));
   CHECK(Table_.gone().size() == (Live ? 0 : 1));
 }
 
 TEST_CASE_METHOD(TableFixture,
-                 "words of one member, in any order, end in the same record",
+                 "updates of one member, in any order, give the same record",
                  "[membertable]") {
-  std::vector<Member> Words = {
-      word(State::Alive, 5, 1), word(State::Suspect, 5, 2),
-      word(State::Left, 5, 2), word(State::Alive, 7, 3),
-      word(State::Suspect, 7, 4)};
+  std::vector<Member> Updates = {
+      memberUpdate(State::Alive, 5, 1), memberUpdate(State::Suspect, 5, 2),
+      memberUpdate(State::Left, 5, 2), memberUpdate(State::Alive, 7, 3),
+      memberUpdate(State::Suspect, 7, 4)};
   std::vector<std::size_t> Order = {0, 1, 2, 3, 4};
   do {
     MemberTable Table(Chart::load(CHARTS_DIR, "member", memberChartNames()),
                       self(), {});
     for (std::size_t I : Order)
-      Table.hear(Words[I], Now_);
+      Table.applyUpdate(Updates[I], Now_);
     const Member *X = Table.find(ProcessName("x"));
     REQUIRE(X->State_ == State::Suspect);
     REQUIRE(X->Incarnation_ == 7);
@@ -124,68 +124,71 @@
 }
 
 TEST_CASE_METHOD(TableFixture,
-                 "suspect that does not refute in time is dead, is kept, and "
-                 "then forgotten",
+                 "suspect that does not refute in time is dead, is retained, "
+                 "and is then removed",
                  "[membertable]") {
-  hear(word(State::Alive, 5));
-  Table_.accuse(ProcessName("x"), Now_);
-  pass(Milliseconds(1400));
+  applyUpdate(memberUpdate(State::Alive, 5));
+  Table_.suspect(ProcessName("x"), Now_);
+  advance(Milliseconds(1400));
   CHECK(x().State_ == State::Suspect);
-  // The clock of a paused process moves on; the others' time to refute not.
-  Table_.shift(Seconds(30));
-  pass(Seconds(30));
+  // While this process is paused its clock runs on, but the time that the
+  // others have to refute does not.
+  Table_.shiftDeadlines(Seconds(30));
+  advance(Seconds(30));
   CHECK(x().State_ == State::Suspect);
-  pass(Milliseconds(101));
+  advance(Milliseconds(101));
   CHECK(x().State_ == State::Dead);
-  pass(std::chrono::hours(1));
-  CHECK(hear(word(State::Alive, 5)).empty());
-  pass(std::chrono::hours(1));
+  advance(std::chrono::hours(1));
+  CHECK(applyUpdate(memberUpdate(State::Alive, 5)).empty());
+  advance(std::chrono::hours(1));
   CHECK(Table_.find(ProcessName("x")) == nullptr);
   CHECK(Table_.gone().empty());
 }
 
 TEST_CASE_METHOD(TableFixture,
-                 "word against this process is refuted by a higher incarnation",
+                 "update against this process is refuted by a higher "
+                 "incarnation",
                  "[membertable]") {
   auto S = GENERATE(State::Suspect, State::Dead, State::Left);
-  Member M = word(S, 10);
+  Member M = memberUpdate(S, 10);
   M.Process_ = ProcessName("self");
-  CHECK(hear(M) == std::vector<std::string>{"refuted"});
+  CHECK(applyUpdate(M) == std::vector<std::string>{"refuted"});
   CHECK(Table_.self().Incarnation_ == 11);
-  CHECK(hear(M).empty());
+  CHECK(applyUpdate(M).empty());
   Table_.leave();
   M.Incarnation_ = 11;
-  CHECK(hear(M).empty());
+  CHECK(applyUpdate(M).empty());
 }
 
 TEST_CASE_METHOD(TableFixture,
                  "report of an endpoint, late or of a predecessor, is dropped",
                  "[membertable]") {
-  Member M = word(State::Alive, 5);
+  Member M = memberUpdate(State::Alive, 5);
   M.Report_ = report(5, 2);
-  hear(M);
+  applyUpdate(M);
   M.Report_ = report(5, 1);
-  CHECK(hear(M).empty());
+  CHECK(applyUpdate(M).empty());
   M.Report_ = report(4, 9);
-  CHECK(hear(M).empty());
+  CHECK(applyUpdate(M).empty());
   M.Report_ = report(5, 3);
-  CHECK(hear(M) == std::vector<std::string>{"reported"});
-  // A refutation keeps it; a new process under the name has another endpoint.
-  CHECK(hear(word(State::Alive, 6)).empty());
+  CHECK(applyUpdate(M) == std::vector<std::string>{"reported"});
+  // A refutation keeps the report; a new process of the same name has a new
+  // endpoint, so the report is dropped.
+  CHECK(applyUpdate(memberUpdate(State::Alive, 6)).empty());
   CHECK(x().Report_);
-  CHECK(hear(word(State::Alive, 6 + RestartGap)) ==
+  CHECK(applyUpdate(memberUpdate(State::Alive, 6 + RestartGap)) ==
         std::vector<std::string>{"restarted"});
   CHECK_FALSE(x().Report_);
 }
 
-TEST_CASE("table that is full refuses new members and counts them",
+TEST_CASE("full member table refuses new members and counts them",
           "[membertable]") {
   MemberTable Table(Chart::load(CHARTS_DIR, "member", memberChartNames()),
                     TableFixture::self(), {.MaxMembers_ = 2});
   for (int I = 0; I < 4; ++I) {
-    Member M = word(State::Alive, 1);
+    Member M = memberUpdate(State::Alive, 1);
     M.Process_ = ProcessName("m" + std::to_string(I));
-    Table.hear(M, TimePoint{});
+    Table.applyUpdate(M, TimePoint{});
   }
   CHECK(Table.live().size() == 2);
   CHECK(Table.refused() == 2);
--- a/tests/unit/ProberTest.cpp
+++ b/tests/unit/ProberTest.cpp
@@ -30,15 +30,16 @@
   void add(std::size_t Count, const std::string &Zone,
            const std::string &Role = "agent") {
     for (std::size_t I = 0; I < Count; ++I)
-      Table_.hear(member(Zone + Role + std::to_string(I), Zone, Role), Now_);
+      Table_.applyUpdate(member(Zone + Role + std::to_string(I), Zone, Role),
+                         Now_);
   }
-  // Ticks until Until; answers all probes when Answer.
-  std::vector<Prober::Order> run(Duration For, bool Answer,
-                                 std::vector<ProcessName> *Unanswered) {
-    std::vector<Prober::Order> Out;
+  // Ticks for the duration For; answers all probes if Answer is set.
+  std::vector<Prober::ProbeRequest> run(Duration For, bool Answer,
+                                        std::vector<ProcessName> *Unanswered) {
+    std::vector<Prober::ProbeRequest> Out;
     for (TimePoint Until = Now_ + For; Now_ < Until; Now_ += Milliseconds(20)) {
-      Prober::Orders O = Prober_.tick(Table_, Now_);
-      for (const Prober::Order &Each : O.Probes_) {
+      Prober::ProbeActions O = Prober_.tick(Table_, Now_);
+      for (const Prober::ProbeRequest &Each : O.Probes_) {
         Out.push_back(Each);
         if (Answer)
           Prober_.answered(Each.Sequence_);
@@ -76,21 +77,21 @@
                  "[prober]") {
   add(20, "a");
   std::set<ProcessName> Seen;
-  for (const Prober::Order &Each : run(Seconds(12), true, nullptr))
+  for (const Prober::ProbeRequest &Each : run(Seconds(12), true, nullptr))
     Seen.insert(Each.To_);
   CHECK(Seen.size() == 20);
 }
 
 TEST_CASE_METHOD(ProberFixture,
-                 "probe without an answer is sent again over a fresh "
-                 "connection and through others, and in the end accuses",
+                 "unanswered probe is sent again over a new connection and "
+                 "through other members, and in the end reports its target",
                  "[prober]") {
   add(5, "a");
   std::vector<ProcessName> Unanswered;
   auto Probes = run(Milliseconds(260), false, &Unanswered);
   REQUIRE(Probes.size() == 5);
-  CHECK_FALSE(Probes[0].Fresh_);
-  CHECK(Probes[1].Fresh_);
+  CHECK_FALSE(Probes[0].NewConnection_);
+  CHECK(Probes[1].NewConnection_);
   CHECK(Probes[1].To_ == Probes[0].To_);
   for (std::size_t I = 2; I < 5; ++I) {
     CHECK(Probes[I].Target_ == Probes[0].To_);
@@ -98,36 +99,37 @@
     CHECK(Probes[I].Sequence_ == Probes[0].Sequence_);
   }
   CHECK(Unanswered.empty());
-  SECTION("answered late, it accuses nobody") {
+  SECTION("answered late, it reports nobody") {
     CHECK(Prober_.answered(Probes[0].Sequence_));
     CHECK_FALSE(Prober_.answered(Probes[0].Sequence_));
     run(Seconds(2), true, &Unanswered);
     CHECK(Unanswered.empty());
   }
-  SECTION("not answered, it accuses its target once") {
+  SECTION("not answered, it reports its target once") {
     run(Milliseconds(780), false, &Unanswered);
     CHECK(Unanswered.empty());
     run(Milliseconds(100), false, &Unanswered);
     CHECK(Unanswered == std::vector<ProcessName>{Probes[0].To_});
   }
-  SECTION("after a pause of this process it accuses nobody") {
+  SECTION("after a pause of this process it reports nobody") {
     Now_ += Seconds(20);
-    Prober_.forgetOutstanding();
+    Prober_.dropOutstanding();
     run(Seconds(1), true, &Unanswered);
     CHECK(Unanswered.empty());
   }
 }
 
 TEST_CASE_METHOD(ProberFixture,
-                 "dead member is probed now and then, and never accused",
+                 "dead member is probed at a low rate and never reported as "
+                 "unanswered",
                  "[prober]") {
   add(3, "a");
   Member Dead = member("x", "b");
   Dead.State_ = MemberState::Dead;
-  Table_.hear(Dead, Now_);
+  Table_.applyUpdate(Dead, Now_);
   std::vector<ProcessName> Unanswered;
   std::size_t Probes = 0;
-  for (const Prober::Order &Each : run(Seconds(30), true, &Unanswered))
+  for (const Prober::ProbeRequest &Each : run(Seconds(30), true, &Unanswered))
     Probes += Each.To_ == Dead.Process_ ? 1 : 0;
   CHECK(Probes >= 15);
   CHECK(Probes <= 25);
@@ -145,27 +147,28 @@
       Out += Each.Process_.str();
     return Out;
   };
-  Queue.add(ProcessName("a"), NewsRank::Endpoint, false);
-  Queue.add(ProcessName("b"), NewsRank::Endpoint, false);
-  Queue.add(ProcessName("c"), NewsRank::State, false);
-  CHECK(Queue.hasUnsent(NewsRank::State));
+  Queue.add(ProcessName("a"), UpdateRank::Endpoint, false);
+  Queue.add(ProcessName("b"), UpdateRank::Endpoint, false);
+  Queue.add(ProcessName("c"), UpdateRank::State, false);
+  CHECK(Queue.hasUnsent(UpdateRank::State));
   CHECK(Names() == "cb");
-  CHECK_FALSE(Queue.hasUnsent(NewsRank::State));
-  CHECK(Queue.hasUnsent(NewsRank::Endpoint));
+  CHECK_FALSE(Queue.hasUnsent(UpdateRank::State));
+  CHECK(Queue.hasUnsent(UpdateRank::Endpoint));
   CHECK(Names() == "ca");
   CHECK(Names() == "ba");
   CHECK(Names().empty());
   for (const char *Each : {"d", "e", "f", "g"})
-    Queue.add(ProcessName(Each), NewsRank::State, false);
+    Queue.add(ProcessName(Each), UpdateRank::State, false);
   CHECK(Queue.size() == 3);
-  // The largest alone goes out nevertheless; an unknown one is dropped.
+  // An item larger than the budget is sent alone; an unknown one is dropped.
   CHECK(Queue.pick(10, 2, Size).size() == 1);
   CHECK(Queue.pick(10, 2, [](const auto &) { return std::size_t{0}; }).empty());
   CHECK(Queue.size() == 0);
 }
 
 TEST_CASE_METHOD(ProberFixture,
-                 "reports of load go to few entries, news to all of the zone",
+                 "load reports go to a few entries, urgent changes to all of "
+                 "the zone",
                  "[reportplan]") {
   add(12, "a", "entry");
   add(3, "b", "entry");
@@ -176,7 +179,8 @@
   S.Phase_ = EndpointPhase::Ready;
   ReportPlan Plan({});
   CHECK(Plan.publish(S, Table_, Now_).size() == 12);
-  // 60 agents, each to 4 of 12 entries, at 10 a second: every 2 s.
+  // 60 agents that each report to 4 of 12 entries, at 10 reports a second per
+  // entry: one report every 2 s.
   CHECK(Plan.period() == Seconds(2));
   S.Running_ = 3;
   CHECK(Plan.publish(S, Table_, Now_ + Milliseconds(1999)).empty());
@@ -195,7 +199,8 @@
 };
 } // namespace
 
-TEST_CASE("new process is ready once it holds the highest it can reach",
+TEST_CASE("new process is ready once it holds the highest revision it "
+          "can reach",
           "[join]") {
   using V = JoinProgress::View;
   auto C = GENERATE(values<ReadyCase>({
@@ -212,9 +217,9 @@
       {"table not yet answered", V{.LivePeers_ = 5}, 3, 9000, false},
       {"table down, peers asked", V{.TableFailed_ = true, .LivePeers_ = 5}, 3,
        0, true},
-      {"lower than heard of",
-       V{.TableRead_ = true, .LivePeers_ = 5, .Held_ = 4, .HighestHeard_ = 5},
-       3, 9000, false},
+      {"lower than the highest revision advertised",
+       V{.TableRead_ = true, .LivePeers_ = 5, .Held_ = 4, .HighestSeen_ = 5}, 3,
+       9000, false},
   }));
   INFO(C.Name_);
   TimePoint Start = TimePoint{} + Seconds(100);
@@ -222,7 +227,7 @@
   std::vector<PeerAddress> Live;
   for (int I = 0; I < 5; ++I)
     Live.emplace_back(std::to_string(I));
-  auto Asked = Join.ask(Live, Start);
+  auto Asked = Join.peersToAsk(Live, Start);
   REQUIRE(Asked.size() == 3);
   for (std::size_t I = 0; I < C.Answers_; ++I) {
     Join.answered(Asked[I]);
@@ -239,10 +244,10 @@
   std::vector<PeerAddress> Live;
   for (int I = 0; I < 4; ++I)
     Live.emplace_back(std::to_string(I));
-  CHECK(Join.ask(Live, Start).size() == 3);
-  CHECK(Join.ask(Live, Start).empty());
-  CHECK(Join.ask(Live, Start + Milliseconds(500)) ==
+  CHECK(Join.peersToAsk(Live, Start).size() == 3);
+  CHECK(Join.peersToAsk(Live, Start).empty());
+  CHECK(Join.peersToAsk(Live, Start + Milliseconds(500)) ==
         std::vector<PeerAddress>{PeerAddress("3")});
-  CHECK(Join.ask(Live, Start + Milliseconds(1000)).empty());
-  CHECK(Join.ask(Live, Start + Milliseconds(1500)).size() == 3);
+  CHECK(Join.peersToAsk(Live, Start + Milliseconds(1000)).empty());
+  CHECK(Join.peersToAsk(Live, Start + Milliseconds(1500)).size() == 3);
 }
