--- a/bench/WeightsBench.cpp
+++ b/bench/WeightsBench.cpp
@@ -159,7 +159,7 @@
     std::cout << Options;
     return 0;
   }
-  Base.Exchange_.TellPeriod_ = Milliseconds(TellMs);
+  Base.Exchange_.UpdatePeriod_ = Milliseconds(TellMs);
   Report Out;
   printHeader();
   if (Given.contains("narrow-origin"))
--- a/bench/WeightsModel.cpp
+++ b/bench/WeightsModel.cpp
@@ -210,14 +210,14 @@
     message(To, 0, [this, I, To, C = A.Fetch_.Chunk_] {
       Upload U{Vms_[I]->Name_.Vm_, Manifest_.version(), C};
       if (!Vms_[To]->Swarm_->held().has(C))
-        return refuse(I, To, C, FetchEnd::Missing);
+        return refuse(I, To, C, FetchResult::Missing);
       if (!Vms_[To]->Uploads_.request(U))
-        return refuse(I, To, C, FetchEnd::Busy);
+        return refuse(I, To, C, FetchResult::Busy);
       startUploads(To);
     });
   }
 
-  void refuse(std::size_t I, std::size_t From, ChunkIndex C, FetchEnd End) {
+  void refuse(std::size_t I, std::size_t From, ChunkIndex C, FetchResult End) {
     message(I, 0, [this, I, From, C, End] {
       decide(I, [&](Swarm &S) {
         S.onRefused(C, Vms_[From]->Name_.Vm_, End, Now_);
@@ -289,7 +289,7 @@
     send(Origin_, Vms_[I]->Down_, [this, I, C = A.Chunk_] {
       if (Vms_[I]->Dead_)
         return;
-      decide(I, [&](Swarm &S) { S.onOrigin(C, OriginEnd::Good, Now_); });
+      decide(I, [&](Swarm &S) { S.onOrigin(C, OriginReadResult::Good, Now_); });
       noteDone(I);
       pump(I);
     });
@@ -324,9 +324,9 @@
   }
 
   void act(std::size_t I, const TellHave &A) {
-    std::size_t To = ByName_.at(A.News_.To_);
+    std::size_t To = ByName_.at(A.Update_.To_);
     std::size_t Load = Vms_[I]->Uploads_.load();
-    if (A.News_.Whole_) {
+    if (A.Update_.IsFullBitmap_) {
       message(To, Setup_.Chunks_ / 8.0,
               [this, I, To, Load, Have = Vms_[I]->Swarm_->held()] {
                 decide(To, [&](Swarm &S) {
@@ -336,8 +336,8 @@
               });
       return;
     }
-    message(To, ChunkIndexBytes * static_cast<double>(A.News_.Added_.size()),
-            [this, I, To, Load, Added = A.News_.Added_] {
+    message(To, ChunkIndexBytes * static_cast<double>(A.Update_.Added_.size()),
+            [this, I, To, Load, Added = A.Update_.Added_] {
               decide(To, [&](Swarm &S) {
                 S.onAdded(Vms_[I]->Name_.Vm_, Added, Load, Now_);
               });
--- a/hawthornroad/agent/PieceTransfer.cpp
+++ b/hawthornroad/agent/PieceTransfer.cpp
@@ -140,12 +140,12 @@
   Request.index = A.Fetch_.Chunk_;
   Request.vm = Setup_.Self_.Vm_.str();
   if (!sendTo(A.Fetch_.From_, makeFrame(std::move(Request))))
-    Swarm_->onRefused(A.Fetch_.Chunk_, A.Fetch_.From_, FetchEnd::Lost, Now);
+    Swarm_->onRefused(A.Fetch_.Chunk_, A.Fetch_.From_, FetchResult::Lost, Now);
 }
 
 void PieceTransfer::run(const ReadOrigin &A, TimePoint Now) {
   if (Origin_ == nullptr || !ReadsOrigin_)
-    return Swarm_->onOrigin(A.Chunk_, OriginEnd::Nothing, Now);
+    return Swarm_->onOrigin(A.Chunk_, OriginReadResult::Nothing, Now);
   auto OnDone = [Weak = weak_from_this(),
                  Index = A.Chunk_](HttpCalls::Result R) {
     auto Self = Weak.lock();
@@ -157,18 +157,19 @@
     if (Answer == nullptr || Answer->Status_ != Ok) {
       bool NothingReceived =
           Answer != nullptr || std::get<LinkFailure>(R).NeverSent_;
-      Self->Swarm_->onOrigin(
-          Index, NothingReceived ? OriginEnd::Nothing : OriginEnd::Wasted,
-          bootNow());
+      Self->Swarm_->onOrigin(Index,
+                             NothingReceived ? OriginReadResult::Nothing
+                                             : OriginReadResult::Wasted,
+                             bootNow());
       return;
     }
     Self->Counters_.OriginBytes_ += Answer->Body_.size();
     if (!Self->matchesDigest(Index, Answer->Body_)) {
-      Self->Swarm_->onOrigin(Index, OriginEnd::Wasted, bootNow());
+      Self->Swarm_->onOrigin(Index, OriginReadResult::Wasted, bootNow());
       return;
     }
     Self->Pieces_[Index] = std::move(Answer->Body_);
-    Self->Swarm_->onOrigin(Index, OriginEnd::Good, bootNow());
+    Self->Swarm_->onOrigin(Index, OriginReadResult::Good, bootNow());
     Self->pump(bootNow());
   };
   Origin_->call(platform::pieceCall(Setup_.Version_, A.Chunk_),
@@ -224,11 +225,11 @@
   Have.manifest = frameName(Setup_.Version_);
   Have.vm = Setup_.Self_.Vm_.str();
   Have.uploads = static_cast<std::uint32_t>(Uploads_.size());
-  if (A.News_.Whole_)
+  if (A.Update_.IsFullBitmap_)
     Have.bitmap = Swarm_->held().bytes();
   else
-    Have.added = A.News_.Added_;
-  sendTo(A.News_.To_, makeFrame(std::move(Have)));
+    Have.added = A.Update_.Added_;
+  sendTo(A.Update_.To_, makeFrame(std::move(Have)));
 }
 
 Vm PieceTransfer::findVm(const PeerAddress &Address) const {
@@ -419,11 +420,11 @@
                             TimePoint Now) {
   ChunkIndex Index = R.index;
   if (Index >= Setup_.Pieces_ || Swarm_->held().has(Index))
-    return Swarm_->onRefused(Index, From, FetchEnd::Missing, Now);
+    return Swarm_->onRefused(Index, From, FetchResult::Missing, Now);
   if (!R.error.empty()) {
-    Swarm_->onRefused(Index, From,
-                      R.error == ReplyBusy ? FetchEnd::Busy : FetchEnd::Missing,
-                      Now);
+    Swarm_->onRefused(
+        Index, From,
+        R.error == ReplyBusy ? FetchResult::Busy : FetchResult::Missing, Now);
     return pump(Now);
   }
   std::string Bytes(R.bytes.begin(), R.bytes.end());
@@ -433,7 +434,7 @@
                    .count("piece", Index)
                    .text("peer", From.str())
                    .text("version", frameName(Setup_.Version_)));
-    Swarm_->onRefused(Index, From, FetchEnd::Bad, Now);
+    Swarm_->onRefused(Index, From, FetchResult::Bad, Now);
     return pump(Now);
   }
   Pieces_[Index] = std::move(Bytes);
--- a/hawthornroad/transfer/OriginClient.cpp
+++ b/hawthornroad/transfer/OriginClient.cpp
@@ -17,15 +17,16 @@
 OriginAnswer toAnswer(const HttpResult &R, const std::string &Origin,
                       unsigned Wanted) {
   if (R.Response_ && R.Response_->Status_ == Wanted)
-    return {.End_ = OriginEnd::Good, .Bytes_ = R.Response_->Body_};
+    return {.End_ = OriginReadResult::Good, .Bytes_ = R.Response_->Body_};
   if (R.Response_)
-    return {.End_ = OriginEnd::Nothing,
+    return {.End_ = OriginReadResult::Nothing,
             .Why_ = Error(Step::Fetch, Origin,
                           "answers with status " +
                               std::to_string(R.Response_->Status_))
                         .what()};
   // Once the request has left, bytes may have been sent that did not arrive.
-  return {.End_ = R.Sent_ ? OriginEnd::Wasted : OriginEnd::Nothing,
+  return {.End_ =
+              R.Sent_ ? OriginReadResult::Wasted : OriginReadResult::Nothing,
           .Why_ = R.Error_->what()};
 }
 } // namespace
--- a/hawthornroad/transfer/OriginClient.h
+++ b/hawthornroad/transfer/OriginClient.h
@@ -23,7 +23,7 @@
 
 struct OriginAnswer {
   // Good when bytes came; they are not verified yet.
-  OriginEnd End_ = OriginEnd::Nothing;
+  OriginReadResult End_ = OriginReadResult::Nothing;
   std::string Bytes_;
   // Why there are none.
   std::string Why_;
--- a/hawthornroad/transfer/WeightSwarm.cpp
+++ b/hawthornroad/transfer/WeightSwarm.cpp
@@ -86,7 +86,7 @@
   Request.index = A.Fetch_.Chunk_;
   Request.vm = Setup_.Swarm_.Self_.Vm_.str();
   if (!sendTo(A.Fetch_.From_, makeFrame(std::move(Request))))
-    Swarm_.onRefused(A.Fetch_.Chunk_, A.Fetch_.From_, FetchEnd::Lost, Now);
+    Swarm_.onRefused(A.Fetch_.Chunk_, A.Fetch_.From_, FetchResult::Lost, Now);
 }
 
 void WeightSwarm::run(const ReadOrigin &A, TimePoint Now) {
@@ -101,10 +101,10 @@
         if (Out.Result_)
           return readNoted(Index);
         Failure_ = Out.Why_;
-        Swarm_.onOrigin(Index, OriginEnd::Nothing, Later);
+        Swarm_.onOrigin(Index, OriginReadResult::Nothing, Later);
       });
   if (!Queued)
-    Swarm_.onOrigin(A.Chunk_, OriginEnd::Nothing, Now);
+    Swarm_.onOrigin(A.Chunk_, OriginReadResult::Nothing, Now);
 }
 
 void WeightSwarm::readNoted(ChunkIndex Index) {
@@ -117,7 +117,7 @@
 
 void WeightSwarm::onOriginBytes(ChunkIndex Index, OriginAnswer A,
                                 TimePoint Now) {
-  if (A.End_ != OriginEnd::Good) {
+  if (A.End_ != OriginReadResult::Good) {
     Failure_ = A.Why_;
     Swarm_.onOrigin(Index, A.End_, Now);
     return;
@@ -127,8 +127,10 @@
                        static_cast<double>(A.Bytes_.size()));
   keep(Index, std::move(A.Bytes_), Origin_.origin(),
        [this, Index](const std::string &Why, TimePoint Later) {
-         Swarm_.onOrigin(
-             Index, Why.empty() ? OriginEnd::Good : OriginEnd::Wasted, Later);
+         Swarm_.onOrigin(Index,
+                         Why.empty() ? OriginReadResult::Good
+                                     : OriginReadResult::Wasted,
+                         Later);
          pump(Later);
        });
 }
@@ -174,7 +176,8 @@
 void WeightSwarm::run(const CheckOrigin &, TimePoint) {
   Origin_.readChunk(Manifest_.blob(), {0, 1}, weak_from_this(),
                     [this](const OriginAnswer &A, TimePoint Now) {
-                      Swarm_.onOriginChecked(A.End_ == OriginEnd::Good, Now);
+                      Swarm_.onOriginChecked(A.End_ == OriginReadResult::Good,
+                                             Now);
                       pump(Now);
                     });
 }
@@ -191,11 +194,11 @@
   Have.manifest = version().str();
   Have.vm = Setup_.Swarm_.Self_.Vm_.str();
   Have.uploads = static_cast<std::uint32_t>(Setup_.Load_());
-  if (A.News_.Whole_)
+  if (A.Update_.IsFullBitmap_)
     Have.bitmap = held().bytes();
   else
-    Have.added = A.News_.Added_;
-  sendTo(A.News_.To_, makeFrame(std::move(Have)));
+    Have.added = A.Update_.Added_;
+  sendTo(A.Update_.To_, makeFrame(std::move(Have)));
 }
 
 void WeightSwarm::onAsk(const Vm &From, TimePoint Now) {
@@ -216,10 +219,10 @@
                           TimePoint Now) {
   ChunkIndex Index = Reply.index;
   if (Index >= held().size() || held().has(Index))
-    return Swarm_.onRefused(Index, From, FetchEnd::Missing, Now);
+    return Swarm_.onRefused(Index, From, FetchResult::Missing, Now);
   if (!Reply.error.empty()) {
-    FetchEnd End =
-        Reply.error == ReplyBusy ? FetchEnd::Busy : FetchEnd::Missing;
+    FetchResult End =
+        Reply.error == ReplyBusy ? FetchResult::Busy : FetchResult::Missing;
     Swarm_.onRefused(Index, From, End, Now);
     return pump(Now);
   }
@@ -228,7 +231,7 @@
          if (Why.empty())
            Swarm_.onChunk(Index, From, Later);
          else
-           Swarm_.onRefused(Index, From, FetchEnd::Bad, Later);
+           Swarm_.onRefused(Index, From, FetchResult::Bad, Later);
          pump(Later);
        });
 }
@@ -240,7 +243,7 @@
 }
 
 std::string WeightSwarm::failure(TimePoint Now) const {
-  std::string Stuck = Swarm_.stalled(Now);
+  std::string Stuck = Swarm_.stallReason(Now);
   return Stuck.empty() ? Failure_ : Stuck;
 }
 
--- a/hawthornroad/transfer/WeightTransferFrames.cpp
+++ b/hawthornroad/transfer/WeightTransferFrames.cpp
@@ -21,7 +21,7 @@
                    [this, Version](const OriginAnswer &A, TimePoint Later) {
                      if (!isCurrent(Version) || !isIn(TransferPhase::Manifest))
                        return;
-                     if (A.End_ != OriginEnd::Good)
+                     if (A.End_ != OriginReadResult::Good)
                        return fail(A.Why_, Later);
                      onManifestBytes(Version, A.Bytes_, Origin_.origin(),
                                      Later);
--- a/hawthornroad/weights/ChunkPlan.cpp
+++ b/hawthornroad/weights/ChunkPlan.cpp
@@ -6,27 +6,27 @@
 namespace hawthornroad {
 
 namespace {
-// An answer is late after this many times the usual time, and worth a second
-// request at the end of a transfer after half as many.
+// A request times out after LateFactor times the mean request time. At the end
+// of a transfer a duplicate request is sent after half as long.
 constexpr int LateFactor = 8;
-constexpr int AskTwiceFactor = 4;
+constexpr int DuplicateFactor = 4;
 constexpr unsigned MaxDoublings = 6;
 constexpr unsigned MaxQuadruplings = 4;
-// Weight of the newest sample in the usual time: one in eight.
+// Weight of the newest sample in the moving average: one in eight.
 constexpr int AverageOver = 8;
-// Sources of one chunk at the end of a transfer.
+// Concurrent requests for one chunk at the end of a transfer.
 constexpr std::ptrdiff_t MaxSources = 2;
 } // namespace
 
 ChunkPlan::ChunkPlan(std::size_t Chunks, Limits L, std::uint64_t Seed)
-    : Limits_(L), Random_(Seed), Busy_(Chunks) {}
+    : Limits_(L), Random_(Seed), InFlightChunks_(Chunks) {}
 
 Duration ChunkPlan::timeout() const {
-  return std::max(Limits_.Timeout_, Usual_ * LateFactor);
+  return std::max(Limits_.Timeout_, MeanRequestTime_ * LateFactor);
 }
 
-std::vector<const ChunkSource *> ChunkPlan::usable(const HaveExchange &E,
-                                                   bool InZone, TimePoint Now) {
+std::vector<const ChunkSource *>
+ChunkPlan::usableSources(const HaveExchange &E, bool InZone, TimePoint Now) {
   struct Ranked {
     std::size_t Waiting_;
     std::uint64_t Tie_;
@@ -36,14 +36,15 @@
   for (const ChunkSource &S : E.sources()) {
     if (S.InZone_ != InZone || S.Have_.count() == 0)
       continue;
-    std::size_t Ours = 0;
+    std::size_t OwnInFlight = 0;
     if (auto P = Peers_.find(S.Vm_); P != Peers_.end()) {
       if (P->second.AvoidUntil_ > Now)
         continue;
-      Ours = P->second.InFlight_;
+      OwnInFlight = P->second.InFlight_;
     }
-    if (Ours < Limits_.PerPeer_)
-      Found.push_back({Ours * Limits_.PerPeer_ + S.Load_, Random_.next(), &S});
+    if (OwnInFlight < Limits_.PerPeer_)
+      Found.push_back(
+          {OwnInFlight * Limits_.PerPeer_ + S.Load_, Random_.next(), &S});
   }
   std::sort(Found.begin(), Found.end(), [](const Ranked &A, const Ranked &B) {
     return A.Waiting_ != B.Waiting_ ? A.Waiting_ < B.Waiting_ : A.Tie_ < B.Tie_;
@@ -54,9 +55,9 @@
   return Out;
 }
 
-std::optional<ChunkIndex> ChunkPlan::rarest(const HaveExchange &E,
-                                            const ChunkSource &S,
-                                            const ChunkSet *Mask) {
+std::optional<ChunkIndex> ChunkPlan::rarestChunk(const HaveExchange &E,
+                                                 const ChunkSource &S,
+                                                 const ChunkSet *Mask) {
   const ChunkSet &Held = E.held();
   std::size_t Words = Held.wordCount();
   std::size_t Start = Random_.below(Words);
@@ -65,10 +66,12 @@
   std::optional<ChunkIndex> Found;
   for (std::size_t Step = 0; Step < Words && Seen < Limits_.Sample_; ++Step) {
     std::size_t At = (Start + Step) % Words;
-    std::uint64_t W = S.Have_.word(At) & ~Held.word(At) & ~Busy_.word(At);
+    std::uint64_t W =
+        S.Have_.word(At) & ~Held.word(At) & ~InFlightChunks_.word(At);
     if (Mask != nullptr)
       W &= Mask->word(At);
-    // A random turn within the word, so that ties do not favour low indices.
+    // Rotates the word by a random amount, so that ties do not favour low
+    // indices.
     int Turn = static_cast<int>(Random_.below(ChunkSet::WordBits));
     for (W = std::rotr(W, Turn); W != 0; W &= W - 1) {
       auto Bit = (static_cast<unsigned>(std::countr_zero(W)) +
@@ -86,8 +89,9 @@
   return Found;
 }
 
-ChunkFetch ChunkPlan::begin(ChunkIndex Chunk, const Vm &From, TimePoint Now) {
-  Busy_.add(Chunk);
+ChunkFetch ChunkPlan::startRequest(ChunkIndex Chunk, const Vm &From,
+                                   TimePoint Now) {
+  InFlightChunks_.add(Chunk);
   ChunkFetch F{Chunk, From};
   Requests_[F] = Now;
   ++Peers_[From].InFlight_;
@@ -95,10 +99,12 @@
 }
 
 std::size_t ChunkPlan::inFlightLimit() const {
-  if (Limits_.SlowAt_ <= Duration::zero() || Usual_ <= Limits_.SlowAt_)
+  if (Limits_.SlowAt_ <= Duration::zero() ||
+      MeanRequestTime_ <= Limits_.SlowAt_)
     return Limits_.InFlight_;
-  auto Fit = static_cast<std::size_t>(
-      static_cast<Duration::rep>(Limits_.InFlight_) * Limits_.SlowAt_ / Usual_);
+  auto Fit =
+      static_cast<std::size_t>(static_cast<Duration::rep>(Limits_.InFlight_) *
+                               Limits_.SlowAt_ / MeanRequestTime_);
   return std::max<std::size_t>(1, Fit);
 }
 
@@ -108,26 +114,26 @@
   if (Requests_.size() >= inFlightLimit() || E.held().isFull())
     return std::nullopt;
   for (bool InZone : {false, true}) {
-    if (!InZone && Across_.size() >= Limits_.AcrossZones_)
+    if (!InZone && CrossZoneRequests_.size() >= Limits_.CrossZone_)
       continue;
-    for (const ChunkSource *S : usable(E, InZone, Now)) {
-      auto Chunk = rarest(E, *S, InZone ? nullptr : &MayCross);
+    for (const ChunkSource *S : usableSources(E, InZone, Now)) {
+      auto Chunk = rarestChunk(E, *S, InZone ? nullptr : &MayCross);
       if (!Chunk)
         continue;
       if (!InZone)
-        Across_.insert({*Chunk, S->Vm_});
-      return begin(*Chunk, S->Vm_, Now);
+        CrossZoneRequests_.insert({*Chunk, S->Vm_});
+      return startRequest(*Chunk, S->Vm_, Now);
     }
   }
-  return askTwice(E, Now);
+  return duplicateRequest(E, Now);
 }
 
-std::optional<ChunkFetch> ChunkPlan::askTwice(const HaveExchange &E,
-                                              TimePoint Now) {
-  if (E.held().count() + Busy_.count() < E.held().size())
+std::optional<ChunkFetch> ChunkPlan::duplicateRequest(const HaveExchange &E,
+                                                      TimePoint Now) {
+  if (E.held().count() + InFlightChunks_.count() < E.held().size())
     return std::nullopt;
-  Duration Long =
-      std::max(Limits_.Timeout_ / LateFactor, Usual_ * AskTwiceFactor);
+  Duration Long = std::max(Limits_.Timeout_ / LateFactor,
+                           MeanRequestTime_ * DuplicateFactor);
   for (const auto &Request : Requests_) {
     const ChunkFetch &F = Request.first;
     if (Now - Request.second < Long)
@@ -136,9 +142,9 @@
     if (std::count_if(Requests_.begin(), Requests_.end(), SameChunk) >=
         MaxSources)
       continue;
-    for (const ChunkSource *S : usable(E, true, Now))
+    for (const ChunkSource *S : usableSources(E, true, Now))
       if (S->Vm_ != F.From_ && S->Have_.has(F.Chunk_))
-        return begin(F.Chunk_, S->Vm_, Now);
+        return startRequest(F.Chunk_, S->Vm_, Now);
   }
   return std::nullopt;
 }
@@ -146,36 +152,36 @@
 void ChunkPlan::release(ChunkIndex Chunk) {
   auto First = Requests_.lower_bound(ChunkFetch{Chunk, Vm()});
   if (First == Requests_.end() || First->first.Chunk_ != Chunk)
-    Busy_.remove(Chunk);
+    InFlightChunks_.remove(Chunk);
 }
 
-void ChunkPlan::finish(ChunkIndex Chunk, const Vm &From, FetchEnd End,
+void ChunkPlan::finish(ChunkIndex Chunk, const Vm &From, FetchResult Result,
                        TimePoint Now) {
   auto Found = Requests_.find({Chunk, From});
   if (Found == Requests_.end())
     return;
   Duration Took = Now - Found->second;
   Requests_.erase(Found);
-  Across_.erase({Chunk, From});
+  CrossZoneRequests_.erase({Chunk, From});
   release(Chunk);
   PeerState &P = Peers_[From];
   --P.InFlight_;
-  switch (End) {
-  case FetchEnd::Good:
+  switch (Result) {
+  case FetchResult::Good:
     P.Misses_ = 0;
-    Usual_ += (Took - Usual_) / AverageOver;
+    MeanRequestTime_ += (Took - MeanRequestTime_) / AverageOver;
     return;
-  case FetchEnd::Bad:
+  case FetchResult::Bad:
     P.AvoidUntil_ = Now + Limits_.AvoidBad_ * (1 << 2 * P.BadChunks_);
     P.BadChunks_ = std::min(P.BadChunks_ + 1, MaxQuadruplings);
     return;
-  case FetchEnd::Busy:
+  case FetchResult::Busy:
     P.AvoidUntil_ =
         std::max(P.AvoidUntil_, Now + Random_.jitter(Limits_.AvoidBusy_, 0.5));
     return;
-  case FetchEnd::Missing:
+  case FetchResult::Missing:
     return;
-  case FetchEnd::Lost:
+  case FetchResult::Lost:
     P.AvoidUntil_ =
         std::max(P.AvoidUntil_, Now + Limits_.AvoidLost_ * (1 << P.Misses_));
     P.Misses_ = std::min(P.Misses_ + 1, MaxDoublings);
@@ -189,7 +195,7 @@
     if (Now - Since >= timeout())
       Out.push_back(F);
   for (const ChunkFetch &F : Out)
-    finish(F.Chunk_, F.From_, FetchEnd::Lost, Now);
+    finish(F.Chunk_, F.From_, FetchResult::Lost, Now);
   return Out;
 }
 
@@ -199,7 +205,7 @@
     if (F.From_ == Peer)
       Chunks.push_back(F.Chunk_);
   for (ChunkIndex I : Chunks)
-    finish(I, Peer, FetchEnd::Lost, Now);
+    finish(I, Peer, FetchResult::Lost, Now);
 }
 
 } // namespace hawthornroad
--- a/hawthornroad/weights/ChunkPlan.h
+++ b/hawthornroad/weights/ChunkPlan.h
@@ -1,22 +1,24 @@
-// Which chunk to ask of which peer next.
+// Selects the next chunk to request and the peer to request it from.
 //
 //   ChunkPlan P(ChunkCount, {}, Random);
-//   while (auto F = P.next(Exchange, MayCross, Now)) request(F->Chunk_,
-//   F->From_); P.finish(Chunk, From, FetchEnd::Good, Now); for (const
-//   ChunkFetch &F : P.expire(Now)) ...    // gave no answer in time
+//   while (auto F = P.next(Exchange, MayCross, Now))
+//     request(F->Chunk_, F->From_);
+//   P.finish(Chunk, From, FetchResult::Good, Now);
+//   for (const ChunkFetch &F : P.expire(Now)) ...    // timed out
 //
-// Of the peers with the fewest requests of ours and the shortest queue of their
-// own, the plan takes one and asks it for the chunk that the fewest peers of
-// the zone hold (rarest first, over a random sample; ties fall at random), so
-// that copies of a new chunk double fast and no chunk is left with one holder.
-// Peers of other zones are asked first, but only for chunks in MayCross: those
-// this VM is to bring into its zone.
+// The plan picks a peer with the fewest requests from this VM in flight and the
+// shortest upload queue, and requests the chunk that the fewest peers of the
+// zone hold (rarest first, over a random sample; ties are broken at random).
+// Copies of a new chunk therefore multiply quickly and no chunk stays with a
+// single holder. Peers of other zones are considered first, but only for chunks
+// in MayCross: those that this VM fetches into its zone.
 //
-// A peer that sent a bad chunk is avoided for AvoidBad_; one that did not
-// answer for a time that doubles with each miss. At the end, when all that is
-// missing is in flight, a chunk that takes long is asked of one more peer.
-// Bounds: InFlight_ requests, PerPeer_ a peer. Cost of next(): a pass over the
-// bitmaps of a few peers.
+// A peer that sent a bad chunk is avoided for AvoidBad_, which grows fourfold
+// with each further bad chunk; a peer that did not answer is avoided for
+// AvoidLost_, which doubles with each miss. At the end, when every missing
+// chunk is in flight, a chunk whose request takes long is requested from one
+// more peer. Limits: InFlight_ requests in total, PerPeer_ for each peer. Cost
+// of next(): one pass over the bitmaps of a few peers.
 
 #ifndef HAWTHORNROAD_WEIGHTS_CHUNKPLAN_H
 #define HAWTHORNROAD_WEIGHTS_CHUNKPLAN_H
@@ -38,12 +40,12 @@
 };
 
 // How a request to a peer ended.
-enum class FetchEnd {
-  Good,    // the chunk came and was right
-  Bad,     // it came and was wrong
-  Busy,    // the peer has no room for the request
+enum class FetchResult {
+  Good,    // the chunk arrived and its digest matched
+  Bad,     // it arrived and its digest did not match
+  Busy,    // the peer's upload queue is full
   Missing, // the peer does not hold the chunk
-  Lost     // the connection was lost, or no answer came in time
+  Lost     // the connection was lost, or the request timed out
 };
 
 class ChunkPlan {
@@ -51,20 +53,21 @@
   struct Limits {
     std::size_t InFlight_ = 8;
     std::size_t PerPeer_ = 2;
-    // Of them, requests to other zones: the link between zones is shared by
+    // Limit on requests to other zones, which share the link between zones with
     // all VMs of both.
-    std::size_t AcrossZones_ = 8;
-    // When requests take longer than this as a rule, fewer are made at once: a
-    // link narrower than it should be would otherwise hold all of them, and
-    // live requests behind them. Zero: never.
+    std::size_t CrossZone_ = 8;
+    // When the mean request time exceeds this, the number of concurrent
+    // requests is reduced in proportion: a link of reduced bandwidth would
+    // otherwise carry all of them, and delay live requests behind them. Zero
+    // disables this.
     Duration SlowAt_ = Duration::zero();
-    // Shortest wait for an answer; a multiple of the usual time counts when
+    // Minimum request timeout; a multiple of the mean request time applies when
     // that is longer.
     Duration Timeout_ = Seconds(5);
     Duration AvoidBusy_ = Milliseconds(50);
     Duration AvoidLost_ = Seconds(1);
     Duration AvoidBad_ = Milliseconds(500);
-    // Chunks looked at for the rarest.
+    // Number of candidate chunks sampled when looking for the rarest.
     std::size_t Sample_ = 64;
   };
 
@@ -72,17 +75,19 @@
 
   std::optional<ChunkFetch> next(const HaveExchange &E,
                                  const ChunkSet &MayCross, TimePoint Now);
-  // Late and doubled ends are ignored. Chunks of other sources stay in flight.
-  void finish(ChunkIndex Chunk, const Vm &From, FetchEnd End, TimePoint Now);
-  // Requests that got no answer in time; they are finished as Lost.
+  // Late and duplicate results are ignored. A chunk that is also requested from
+  // another peer stays in flight.
+  void finish(ChunkIndex Chunk, const Vm &From, FetchResult Result,
+              TimePoint Now);
+  // Returns the requests that timed out, after finishing them as Lost.
   std::vector<ChunkFetch> expire(TimePoint Now);
-  // All requests to Peer are finished as Lost.
+  // Finishes all requests to Peer as Lost.
   void onLost(const Vm &Peer, TimePoint Now);
 
-  // Keeps a chunk from being asked of peers while the origin is read for it.
-  void reserve(ChunkIndex Chunk) { Busy_.add(Chunk); }
+  // Excludes a chunk from peer requests while it is read from the origin.
+  void reserve(ChunkIndex Chunk) { InFlightChunks_.add(Chunk); }
   void release(ChunkIndex Chunk);
-  bool isInFlight(ChunkIndex Chunk) const { return Busy_.has(Chunk); }
+  bool isInFlight(ChunkIndex Chunk) const { return InFlightChunks_.has(Chunk); }
   std::size_t inFlight() const { return Requests_.size(); }
 
 private:
@@ -92,25 +97,27 @@
     unsigned BadChunks_ = 0;
     TimePoint AvoidUntil_{};
   };
-  std::vector<const ChunkSource *> usable(const HaveExchange &E, bool InZone,
-                                          TimePoint Now);
-  std::optional<ChunkIndex> rarest(const HaveExchange &E, const ChunkSource &S,
-                                   const ChunkSet *Mask);
-  std::optional<ChunkFetch> askTwice(const HaveExchange &E, TimePoint Now);
-  ChunkFetch begin(ChunkIndex Chunk, const Vm &From, TimePoint Now);
+  std::vector<const ChunkSource *> usableSources(const HaveExchange &E,
+                                                 bool InZone, TimePoint Now);
+  std::optional<ChunkIndex> rarestChunk(const HaveExchange &E,
+                                        const ChunkSource &S,
+                                        const ChunkSet *Mask);
+  std::optional<ChunkFetch> duplicateRequest(const HaveExchange &E,
+                                             TimePoint Now);
+  ChunkFetch startRequest(ChunkIndex Chunk, const Vm &From, TimePoint Now);
   Duration timeout() const;
   std::size_t inFlightLimit() const;
 
   Limits Limits_;
   Random Random_;
   // Chunks with a request or an origin read in progress.
-  ChunkSet Busy_;
+  ChunkSet InFlightChunks_;
   std::map<ChunkFetch, TimePoint> Requests_;
   // Requests to other zones.
-  std::set<ChunkFetch> Across_;
+  std::set<ChunkFetch> CrossZoneRequests_;
   std::map<Vm, PeerState> Peers_;
-  // Moving average of the time a good request took.
-  Duration Usual_{};
+  // Moving average of the duration of successful requests.
+  Duration MeanRequestTime_{};
 };
 
 } // namespace hawthornroad
--- a/hawthornroad/weights/ChunkSet.h
+++ b/hawthornroad/weights/ChunkSet.h
@@ -1,11 +1,11 @@
-// A set of chunks of one version: a bitmap of fixed size.
+// A fixed-size bitmap of the chunks of one version.
 //
 //   ChunkSet Held(Manifest.chunkCount());
 //   Held.add(7);
 //   if (!Held.isFull()) ...
 //
-// bytes() is the form of the wire: bit i % 8 of byte i / 8 is chunk i.
-// Cost: a bit a chunk; 50,000 chunks take 6 KB.
+// bytes() is the wire format: bit i % 8 of byte i / 8 is chunk i. Cost: one bit
+// for each chunk; 50,000 chunks take 6 KB.
 
 #ifndef HAWTHORNROAD_WEIGHTS_CHUNKSET_H
 #define HAWTHORNROAD_WEIGHTS_CHUNKSET_H
@@ -25,7 +25,7 @@
   explicit ChunkSet(std::size_t Size = 0)
       : Size_(Size), Words_((Size + WordBits - 1) / WordBits, 0) {}
 
-  // Bits beyond Size, as a faulty peer may send, are ignored.
+  // Bits beyond Size, which a faulty peer may send, are ignored.
   static ChunkSet fromBytes(const std::vector<std::uint8_t> &Bytes,
                             std::size_t Size) {
     ChunkSet Out(Size);
@@ -44,7 +44,7 @@
   bool has(ChunkIndex I) const {
     return I < Size_ && ((Words_[I / WordBits] >> (I % WordBits)) & 1U) != 0;
   }
-  // Returns whether I was not in the set before; false when out of range.
+  // Returns true when I was newly added; false when present or out of range.
   bool add(ChunkIndex I) {
     if (I >= Size_ || has(I))
       return false;
@@ -65,7 +65,7 @@
   std::size_t wordCount() const { return Words_.size(); }
   std::uint64_t word(std::size_t At) const { return Words_[At]; }
 
-  // Calls Do(index) for each member, lowest first.
+  // Calls Do(index) for each member in ascending order.
   template <class Fn> void forEach(Fn Do) const {
     for (std::size_t At = 0; At < Words_.size(); ++At)
       for (std::uint64_t W = Words_[At]; W != 0; W &= W - 1)
--- a/hawthornroad/weights/DigestTree.cpp
+++ b/hawthornroad/weights/DigestTree.cpp
@@ -7,15 +7,15 @@
 namespace hawthornroad {
 
 namespace {
-// VMs of the origin's zone that are asked when the own zone gives nothing.
-constexpr std::size_t RootsAsked = 3;
-// So many positions of the origin's zone read before any other zone's first.
+// VMs of the root zone that are asked when the own zone does not answer.
+constexpr std::size_t RootZoneSources = 3;
+// Positions of the root zone that read before the first VM of any other zone.
 constexpr std::size_t RootReaders = 4;
-// From there on each further position waits so many timeouts more: over 8 s
-// with no answer anywhere five zones bring 28 readers, of the 48 connections
-// that the narrowest known origin takes.
+// Each later position waits this many timeouts more: within 8 s of no answer
+// anywhere, five zones have 28 readers, out of the 48 connections that the
+// narrowest known origin accepts.
 constexpr Duration::rep LateStep = 4;
-constexpr unsigned MostDoublings = 3;
+constexpr unsigned MaxDoublings = 3;
 constexpr double ReadSpread = 0.9;
 } // namespace
 
@@ -38,7 +38,8 @@
   return Out;
 }
 
-// The origin's zone; when no VM is there, that of the first VM by name.
+// Returns the origin's zone or, when no VM is there, the zone of the first VM
+// by name.
 AvailabilityZone
 DigestTree::rootZone(const std::vector<SwarmPeer> &Peers) const {
   for (const SwarmPeer &P : Peers)
@@ -64,7 +65,7 @@
     Sources_.push_back(Zone[At]);
   }
   std::vector<Vm> Roots = zoneOrder(All, Root);
-  for (std::size_t I = 0; I < std::min(RootsAsked, Roots.size()); ++I) {
+  for (std::size_t I = 0; I < std::min(RootZoneSources, Roots.size()); ++I) {
     bool IsNew =
         Roots[I] != Setup_.Self_.Vm_ &&
         std::find(Sources_.begin(), Sources_.end(), Roots[I]) == Sources_.end();
@@ -91,15 +92,16 @@
 }
 
 void DigestTree::onMissing(TimePoint Now) {
-  // Once round without success, the next try waits as for silence.
+  // After a full cycle without success, the next attempt waits as after a
+  // timeout.
   if (Sources_.empty() || Asked_ % Sources_.size() != 0)
     AskNotBefore_ = Now;
 }
 
 void DigestTree::onReadFailed(TimePoint Now) {
-  auto Doubled = std::min(ReadFailures_++, MostDoublings);
+  auto Doubled = std::min(ReadFailures_++, MaxDoublings);
   ReadNotBefore_ =
-      Now + Random_.jitter(Setup_.ReadAgain_ * (1 << Doubled), ReadSpread);
+      Now + Random_.jitter(Setup_.ReadRetry_ * (1 << Doubled), ReadSpread);
 }
 
 } // namespace hawthornroad
--- a/hawthornroad/weights/DigestTree.h
+++ b/hawthornroad/weights/DigestTree.h
@@ -1,33 +1,37 @@
-// From whom a VM gets the digests of a version's chunks.
+// Selects where a VM gets the chunk digests of a version from.
 //
-//   DigestTree T({.Self_ = {Vm, Zone}, .OriginZone_ = "zg", .Version_ =
-//   "m/2"}); T.setPeers(Peers); switch (DigestStep S = T.next(Now); S.Kind_)
-//   ...  // ask S.To_, or read T.onMissing(Now);     // the one asked does not
-//   have them T.onReadFailed(Now);  // the origin did not give them
+//   DigestTree T({.Self_ = {Vm, Zone}, .OriginZone_ = "zg",
+//                 .Version_ = "m/2"});
+//   T.setPeers(Peers);
+//   switch (DigestStep S = T.next(Now); S.Kind_) ...  // ask S.To_, or read
+//   T.onMissing(Now);     // the peer asked does not have the digests
+//   T.onReadFailed(Now);  // the read from the origin failed
 //
-// The digests come before any chunk, and all VMs want them at the same moment.
-// An origin takes few connections; when every VM dials it, those that are to
-// read chunks wait behind those that ask for digests: of 265 VMs half began
-// their transfer 3.2 s after the naming, the last after 6.3 s, and each read
-// the digests from the origin itself. Here one VM reads them.
+// Digests are needed before any chunk, and all VMs need them at the same time.
+// An origin accepts few connections. When every VM connects to it, the VMs that
+// read chunks queue behind those that ask for digests: in a fleet of 265 VMs
+// half began their transfer 3.2 s after the version was announced, the last
+// after 6.3 s, and each read the digests from the origin itself. With this tree
+// one VM reads them.
 //
-// The VMs of a zone have one order, by rendezvous hash over the version. The
-// first of the origin's zone reads; the first of each other zone asks it; any
-// other asks its parent in a tree of FanOut over the zone's order. Whoever is
-// asked before it has them answers when it has. So the depth grows with log N,
-// no VM sends more than FanOut copies and one for each zone, and each zone's
-// link carries them once.
+// The VMs of a zone are ordered by rendezvous hash over the version. The first
+// VM of the origin's zone reads the origin; the first VM of each other zone
+// asks it; every other VM asks its parent in a tree with fan-out FanOut_ over
+// the zone's order. A VM that is asked before it has the digests answers once
+// it has them. The depth therefore grows with log N, no VM sends more than
+// FanOut_ copies plus one for each other zone, and each link between zones
+// carries the digests once.
 //
-// A VM that is dead, frozen or cut off costs its subtree one Timeout: after
-// that the next ancestor is asked, then the first VMs of the origin's zone,
-// then round again. And while nothing comes at all, VMs begin to read the
-// origin themselves, by their position in the zone, slowly: those of the
-// origin's zone first, and at no moment more than a few of each zone, so that
-// an origin that comes back finds room for those that read chunks.
+// A VM that is dead, frozen or partitioned delays its subtree by one Timeout_:
+// the next ancestor is asked then, then the first VMs of the origin's zone,
+// then the list starts over. While no digests arrive at all, VMs start to read
+// the origin themselves, staggered by their position in the zone, those of the
+// origin's zone first. Only a few VMs of each zone do so at any time, so that a
+// recovering origin has connections left for the VMs that read chunks.
 //
-// Every VM works this out alone. When views of the fleet differ, two VMs may
-// read the origin, or one asks a VM that has not heard of the version yet and
-// which learns of it by that.
+// Each VM computes this locally. When views of the fleet differ, two VMs may
+// read the origin, or a VM may be asked that has not heard of the version yet;
+// the request tells it of the version.
 
 #ifndef HAWTHORNROAD_WEIGHTS_DIGESTTREE_H
 #define HAWTHORNROAD_WEIGHTS_DIGESTTREE_H
@@ -40,10 +44,10 @@
 
 namespace hawthornroad {
 
-// What to do now about the digests.
+// The next action for obtaining the digests.
 struct DigestStep {
   enum class Kind {
-    Wait, // nothing is due
+    Wait, // no action is due
     Ask,  // ask To_ for them
     Read  // read the origin
   };
@@ -59,43 +63,42 @@
     AvailabilityZone OriginZone_;
     std::string Version_;
     std::uint64_t Seed_ = 1;
-    // A VM that was asked has them after two round trips to the origin and as
-    // many hops as the tree is deep; longer without an answer, it is in
-    // trouble.
+    // How long to wait for an answer. A healthy VM has the digests after two
+    // round trips to the origin and one hop for each level of the tree.
     Duration Timeout_ = Milliseconds(400);
-    // Eight copies of 7 KB leave a link of 7 Mbit/s in 60 ms.
+    // Eight copies of 7 KB take 60 ms on a link of 7 Mbit/s.
     std::size_t FanOut_ = 8;
-    // After a failed read; doubles up to eight times that.
-    Duration ReadAgain_ = Milliseconds(300);
+    // Delay after a failed read; doubles up to eight times this value.
+    Duration ReadRetry_ = Milliseconds(300);
   };
 
   DigestTree(Setup S, TimePoint Now);
 
-  // All live VMs that need the version; Self may be left out.
+  // All live VMs that need the version; Self_ may be omitted.
   void setPeers(const std::vector<SwarmPeer> &Peers);
 
   DigestStep next(TimePoint Now);
   void onMissing(TimePoint Now);
   void onReadFailed(TimePoint Now);
 
-  // Whether this VM reads the origin while all is well.
+  // Whether this VM is the designated reader of the origin.
   bool isReader() const { return IsReader_; }
 
 private:
   std::vector<Vm> zoneOrder(const std::vector<SwarmPeer> &Peers,
                             const AvailabilityZone &Zone) const;
   AvailabilityZone rootZone(const std::vector<SwarmPeer> &Peers) const;
-  // How long after the start this VM reads by itself.
+  // Delay from the start after which this VM reads the origin itself.
   Duration readAfter() const;
 
   Setup Setup_;
   Random Random_;
   TimePoint StartedAt_;
-  // Whom to ask, in this order, over and over.
+  // VMs to ask, in this order, cyclically.
   std::vector<Vm> Sources_;
   std::size_t Asked_ = 0;
   TimePoint AskNotBefore_;
-  // Position in the order of the own zone.
+  // Position in the order of this VM's zone.
   std::size_t Position_ = 0;
   bool IsReader_ = false;
   bool IsInRootZone_ = false;
--- a/hawthornroad/weights/HaveExchange.cpp
+++ b/hawthornroad/weights/HaveExchange.cpp
@@ -22,7 +22,7 @@
 void HaveExchange::watch(const std::map<Vm, bool> &InZone) {
   for (ChunkSource &S : Sources_)
     if (!InZone.contains(S.Vm_))
-      forget(S);
+      clearHave(S);
   std::erase_if(Sources_,
                 [&](const ChunkSource &S) { return !InZone.contains(S.Vm_); });
   for (const auto &[V, Near] : InZone) {
@@ -51,22 +51,23 @@
   return Out;
 }
 
-std::vector<HaveNews> HaveExchange::dueNews(TimePoint Now) {
+std::vector<HaveUpdate> HaveExchange::dueUpdates(TimePoint Now) {
   std::erase_if(Watchers_,
                 [&](const auto &Each) { return Each.second.Until_ < Now; });
-  std::vector<HaveNews> Out;
+  std::vector<HaveUpdate> Out;
   for (auto &[V, W] : Watchers_) {
-    bool Behind = W.Whole_ || W.Told_ < Log_.size();
-    if (!Behind || (!W.Whole_ && Now - W.ToldAt_ < Limits_.TellPeriod_))
+    bool Behind = W.IsFullBitmap_ || W.SentUpTo_ < Log_.size();
+    if (!Behind ||
+        (!W.IsFullBitmap_ && Now - W.SentAt_ < Limits_.UpdatePeriod_))
       continue;
-    HaveNews News{.To_ = V, .Whole_ = W.Whole_};
-    if (!W.Whole_)
-      News.Added_.assign(Log_.begin() + static_cast<std::ptrdiff_t>(W.Told_),
-                         Log_.end());
-    W.Whole_ = false;
-    W.Told_ = Log_.size();
-    W.ToldAt_ = Now;
-    Out.push_back(std::move(News));
+    HaveUpdate Update{.To_ = V, .IsFullBitmap_ = W.IsFullBitmap_};
+    if (!W.IsFullBitmap_)
+      Update.Added_.assign(
+          Log_.begin() + static_cast<std::ptrdiff_t>(W.SentUpTo_), Log_.end());
+    W.IsFullBitmap_ = false;
+    W.SentUpTo_ = Log_.size();
+    W.SentAt_ = Now;
+    Out.push_back(std::move(Update));
   }
   return Out;
 }
@@ -78,15 +79,15 @@
       return false;
     Found = Watchers_.try_emplace(From).first;
   }
-  // A renewal repeats the bitmap now and then, which heals whatever news was
-  // lost with a connection: the lease is several asks long, so the watcher
-  // cannot tell a renewal from a first ask that follows a loss.
-  Found->second.Whole_ = true;
+  // Each renewal triggers a full bitmap, which recovers updates that were lost
+  // with a connection: the lease spans several asks, so a renewal cannot be
+  // told from a first ask after such a loss.
+  Found->second.IsFullBitmap_ = true;
   Found->second.Until_ = Now + Limits_.Lease_;
   return true;
 }
 
-bool HaveExchange::addTo(ChunkSource &S, ChunkIndex Index) {
+bool HaveExchange::addChunk(ChunkSource &S, ChunkIndex Index) {
   if (!S.Have_.add(Index))
     return false;
   if (S.InZone_)
@@ -102,7 +103,7 @@
     return Fresh;
   S->Load_ = Load;
   Have.forEach([&](ChunkIndex I) {
-    if (addTo(*S, I))
+    if (addChunk(*S, I))
       Fresh.push_back(I);
   });
   return Fresh;
@@ -117,7 +118,7 @@
     return Fresh;
   S->Load_ = Load;
   for (ChunkIndex I : Added)
-    if (addTo(*S, I))
+    if (addChunk(*S, I))
       Fresh.push_back(I);
   return Fresh;
 }
@@ -131,7 +132,7 @@
     --InZone_[Index];
 }
 
-void HaveExchange::forget(ChunkSource &S) {
+void HaveExchange::clearHave(ChunkSource &S) {
   S.Have_.forEach([&](ChunkIndex I) {
     --Anywhere_[I];
     if (S.InZone_)
@@ -145,9 +146,10 @@
   ChunkSource *S = findSource(Peer);
   if (S == nullptr)
     return;
-  forget(*S);
+  clearHave(*S);
   S->Load_ = 0;
-  // Asked again after AskPeriod_, in case only the connection was lost.
+  // The peer is asked again after AskPeriod_, in case only the connection was
+  // lost.
 }
 
 void HaveExchange::noteHeld(ChunkIndex Index) {
--- a/hawthornroad/weights/HaveExchange.h
+++ b/hawthornroad/weights/HaveExchange.h
@@ -1,18 +1,19 @@
-// Who holds what: this VM watches a bounded number of peers and tells those
-// that watch it.
+// Tracks which chunks peers hold: this VM watches a bounded number of peers and
+// sends updates to those that watch it.
 //
 //   HaveExchange E(ChunkCount, Held);
 //   E.watch(Neighbours, InZone);
 //   for (const Vm &V : E.dueAsks(Now)) send ChunkAsk
-//   for (const HaveNews &N : E.dueNews(Now)) send ChunkHave
+//   for (const HaveUpdate &U : E.dueUpdates(Now)) send ChunkHave
 //   E.onHave(V, Bitmap, Load, Now); E.onAdded(V, Indices, Load, Now);
 //
-// An ask is a lease: it is renewed while the peer is of use and lapses by
-// itself, so neither side keeps word of a dead one. A new watcher gets the
-// whole bitmap, then only what was added, at most once in TellPeriod_: messages
-// a VM sends grow with its neighbours, which are bounded, not with the fleet.
-// A late or doubled message is harmless: a bit once true stays true until the
-// peer is lost or answers that it does not hold the chunk.
+// A subscription (ask) is a lease: the watcher renews it while it needs the
+// peer, and it expires otherwise, so neither side keeps state for a dead peer.
+// A new watcher gets the whole bitmap, then only added chunks, at most once in
+// UpdatePeriod_: the messages that a VM sends grow with its neighbours, which
+// are bounded, not with the fleet. Late and duplicate messages are harmless: a
+// bit stays set until the peer is lost or answers that it does not hold the
+// chunk.
 
 #ifndef HAWTHORNROAD_WEIGHTS_HAVEEXCHANGE_H
 #define HAWTHORNROAD_WEIGHTS_HAVEEXCHANGE_H
@@ -24,21 +25,21 @@
 
 namespace hawthornroad {
 
-// What is to be told to one watcher.
-struct HaveNews {
+// An update for one watcher.
+struct HaveUpdate {
   Vm To_;
   // Send the whole bitmap; Added_ is then empty.
-  bool Whole_ = false;
+  bool IsFullBitmap_ = false;
   std::vector<ChunkIndex> Added_;
-  bool operator==(const HaveNews &) const = default;
+  bool operator==(const HaveUpdate &) const = default;
 };
 
-// A watched peer and what it holds.
+// A watched peer and the chunks it holds.
 struct ChunkSource {
   Vm Vm_;
   bool InZone_ = false;
   ChunkSet Have_;
-  // Uploads it said were waiting.
+  // Number of pending uploads that the peer reported.
   std::size_t Load_ = 0;
   TimePoint AskedAt_{};
   bool Asked_ = false;
@@ -47,7 +48,7 @@
 class HaveExchange {
 public:
   struct Limits {
-    Duration TellPeriod_ = Milliseconds(100);
+    Duration UpdatePeriod_ = Milliseconds(100);
     Duration AskPeriod_ = Seconds(2);
     Duration Lease_ = Seconds(7);
     std::size_t Watchers_ = 48;
@@ -55,20 +56,20 @@
 
   HaveExchange(ChunkSet Held, Limits L);
 
-  // The peers to watch from now on; what others hold is forgotten.
+  // Replaces the set of watched peers; the state of other peers is dropped.
   void watch(const std::map<Vm, bool> &InZone);
   std::vector<Vm> dueAsks(TimePoint Now);
-  std::vector<HaveNews> dueNews(TimePoint Now);
+  std::vector<HaveUpdate> dueUpdates(TimePoint Now);
 
-  // A peer asks to be told. False when there are too many watchers.
+  // Handles a subscription. Returns false when there are too many watchers.
   bool onAsk(const Vm &From, TimePoint Now);
-  // Each returns the chunks not known to be available before.
+  // Each returns the chunks that were not known to be available before.
   std::vector<ChunkIndex> onHave(const Vm &From, const ChunkSet &Have,
                                  std::size_t Load);
   std::vector<ChunkIndex> onAdded(const Vm &From,
                                   const std::vector<ChunkIndex> &Added,
                                   std::size_t Load);
-  // The peer said that it does not hold Index after all.
+  // The peer reported that it does not hold Index.
   void onMissing(const Vm &From, ChunkIndex Index);
   void onLost(const Vm &Peer);
   void noteHeld(ChunkIndex Index);
@@ -76,7 +77,8 @@
   const ChunkSet &held() const { return Held_; }
   const std::vector<ChunkSource> &sources() const { return Sources_; }
   const ChunkSource *find(const Vm &V) const;
-  // Watched peers of the own zone, and of all zones, that hold Index.
+  // Number of watched peers that hold Index, in this VM's zone and in all
+  // zones.
   std::size_t inZone(ChunkIndex Index) const { return InZone_[Index]; }
   std::size_t anywhere(ChunkIndex Index) const { return Anywhere_[Index]; }
   std::vector<Vm> watchers() const;
@@ -84,18 +86,18 @@
 private:
   struct Watcher {
     TimePoint Until_{};
-    TimePoint ToldAt_{};
-    bool Whole_ = true;
-    // Position in Log_ up to which it has been told.
-    std::size_t Told_ = 0;
+    TimePoint SentAt_{};
+    bool IsFullBitmap_ = true;
+    // Position in Log_ up to which updates have been sent.
+    std::size_t SentUpTo_ = 0;
   };
   ChunkSource *findSource(const Vm &V);
-  bool addTo(ChunkSource &S, ChunkIndex Index);
-  void forget(ChunkSource &S);
+  bool addChunk(ChunkSource &S, ChunkIndex Index);
+  void clearHave(ChunkSource &S);
 
   Limits Limits_;
   ChunkSet Held_;
-  // Chunks in the order in which they came to be held.
+  // Held chunks in the order in which they were added.
   std::vector<ChunkIndex> Log_;
   std::vector<ChunkSource> Sources_;
   std::map<Vm, Watcher> Watchers_;
--- a/hawthornroad/weights/Manifest.cpp
+++ b/hawthornroad/weights/Manifest.cpp
@@ -19,7 +19,8 @@
   return (C >= '0' && C <= '9') || (C >= 'a' && C <= 'f');
 }
 
-// A blob's path goes into a request line, so it must not carry a line end.
+// The blob's path is sent in a request line, so it must not contain spaces or
+// control characters.
 bool isCleanPath(std::string_view Path) {
   auto IsPlain = [](unsigned char C) { return C > ' ' && C < 127; };
   return Path.starts_with('/') &&
@@ -37,7 +38,7 @@
 
 Manifest Manifest::parse(std::string_view Bytes, const VersionDigest &Version,
                          const std::string &Peer) {
-  // A manifest replaced at the origin under the same path shows here: its
+  // Detects a manifest that was replaced at the origin under the same path: its
   // bytes no longer hash to the declared version.
   std::string Found = sha256(Bytes);
   if (Found != Version.str())
--- a/hawthornroad/weights/ManifestPlan.h
+++ b/hawthornroad/weights/ManifestPlan.h
@@ -1,13 +1,13 @@
-// Where to look for a version's manifest next.
+// Selects the next source to ask for a version's manifest.
 //
 //   ManifestPlan P(Version, Self, Peers, Now);
 //   if (auto From = P.next(Now, Random))     // an unset Vm is the origin
 //     ask(*From);
 //
-// A manifest of tens of thousands of chunks is a few megabytes; read by each
-// of hundreds of VMs it would be a noticeable share of the origin's link. So
-// only the first Readers VMs of the rendezvous order go to the origin at once;
-// the rest ask random peers, and go to the origin after a timeout.
+// A manifest of tens of thousands of chunks takes a few megabytes; if each of
+// hundreds of VMs read it, it would use a noticeable share of the origin's
+// link. So only the first Readers VMs in rendezvous order read the origin
+// immediately; the others ask random peers, and read the origin after Timeout.
 
 #ifndef HAWTHORNROAD_WEIGHTS_MANIFESTPLAN_H
 #define HAWTHORNROAD_WEIGHTS_MANIFESTPLAN_H
@@ -30,13 +30,13 @@
   ManifestPlan(const VersionDigest &Version, const Vm &Self,
                std::vector<Vm> Peers, TimePoint Now);
 
-  // Whom to ask now, if anybody; an unset Vm stands for the origin.
+  // Returns the source to ask now, if any; an unset Vm stands for the origin.
   std::optional<Vm> next(TimePoint Now, Random &R);
 
 private:
   std::vector<Vm> Peers_;
-  TimePoint OriginAt_;
-  TimePoint AskAt_;
+  TimePoint OriginReadAt_;
+  TimePoint NextAskAt_;
 };
 
 } // namespace hawthornroad
--- a/hawthornroad/weights/OriginBudget.cpp
+++ b/hawthornroad/weights/OriginBudget.cpp
@@ -8,14 +8,14 @@
 namespace hawthornroad {
 
 namespace {
-constexpr const char *SliceWord = "slice";
-constexpr const char *SpareWord = "spare";
-constexpr const char *ReadWord = "read";
-constexpr const char *LeftWord = "left";
+constexpr const char *SliceKeyword = "slice";
+constexpr const char *SpareKeyword = "spare";
+constexpr const char *ReadKeyword = "read";
+constexpr const char *LeftKeyword = "left";
 } // namespace
 
 std::string Grant::str() const {
-  const char *Word = Kind_ == Kind::Slice ? SliceWord : SpareWord;
+  const char *Word = Kind_ == Kind::Slice ? SliceKeyword : SpareKeyword;
   return std::string(Word) + "/" + std::to_string(Number_);
 }
 
@@ -24,7 +24,7 @@
     : Chunks_(Chunks), Size_(Size), ChunkSize_(ChunkSize),
       Slices_(std::clamp<SliceIndex>(Chunks, 1, MaxSlices)),
       PerSpare_(std::max<ChunkIndex>(1, Chunks / SparesPerCopy)),
-      Fate_(Slices_, SliceFate::Unknown), Charged_(Chunks) {
+      SliceStates_(Slices_, SliceState::Unknown), Charged_(Chunks) {
   setCopies(Copies);
 }
 
@@ -33,8 +33,8 @@
     throw Error(Step::Fetch, "origin",
                 "a budget of " + std::to_string(Copies) +
                     " copies cannot stage a version");
-  // In bytes, with every read counted as a whole chunk, so that a short last
-  // chunk does not stretch the budget.
+  // Computed in bytes, counting every read as a whole chunk, so that a short
+  // last chunk does not raise the budget.
   double Rest = (Copies - 1) * static_cast<double>(Size_);
   double PerGrant = static_cast<double>(PerSpare_) *
                     static_cast<double>(std::min(ChunkSize_, Size_));
@@ -47,11 +47,12 @@
 }
 
 bool OriginBudget::isReader(ChunkIndex Index) const {
-  return Fate_[sliceOf(Index)] == SliceFate::Mine && !Charged_.has(Index);
+  return SliceStates_[sliceOf(Index)] == SliceState::Mine &&
+         !Charged_.has(Index);
 }
 
 void OriginBudget::spend(ChunkIndex Index) {
-  if (Fate_[sliceOf(Index)] == SliceFate::Mine && Charged_.add(Index)) {
+  if (SliceStates_[sliceOf(Index)] == SliceState::Mine && Charged_.add(Index)) {
     PaidBySpare_.erase(Index);
     return;
   }
@@ -68,41 +69,41 @@
 
 std::optional<Grant> OriginBudget::nextClaim(ChunkIndex Index, bool MaySpare,
                                              Random &R) {
-  if (Claiming_)
+  if (PendingClaim_)
     return std::nullopt;
   SliceIndex S = sliceOf(Index);
-  if (Fate_[S] == SliceFate::Unknown) {
-    Claiming_ = Grant{Grant::Kind::Slice, S};
-    return Claiming_;
+  if (SliceStates_[S] == SliceState::Unknown) {
+    PendingClaim_ = Grant{Grant::Kind::Slice, S};
+    return PendingClaim_;
   }
   if (!MaySpare || isSpent())
     return std::nullopt;
-  if (!Unresolved_) {
+  if (!UnresolvedSpare_) {
     auto Number = static_cast<std::uint32_t>(R.below(Spares_));
-    while (Tried_.contains(Number))
+    while (TriedSpares_.contains(Number))
       Number = (Number + 1) % Spares_;
-    Unresolved_ = Grant{Grant::Kind::Spare, Number};
+    UnresolvedSpare_ = Grant{Grant::Kind::Spare, Number};
   }
-  Claiming_ = Unresolved_;
-  return Claiming_;
+  PendingClaim_ = UnresolvedSpare_;
+  return PendingClaim_;
 }
 
 void OriginBudget::onClaim(const Grant &G, ClaimResult Result) {
-  // A doubled or late answer must not be credited twice.
-  if (Claiming_ != G)
+  // A duplicate or late answer must not be credited twice.
+  if (PendingClaim_ != G)
     return;
   // When the outcome is unknown the same grant is claimed again, so that a
-  // claim which landed although its answer was lost is not forfeited.
-  Claiming_.reset();
+  // stored claim whose answer was lost is not forfeited.
+  PendingClaim_.reset();
   if (Result == ClaimResult::Unknown)
     return;
   bool Won = Result == ClaimResult::Won;
   if (G.Kind_ == Grant::Kind::Slice) {
-    Fate_[G.Number_] = Won ? SliceFate::Mine : SliceFate::Taken;
+    SliceStates_[G.Number_] = Won ? SliceState::Mine : SliceState::Taken;
     return;
   }
-  Unresolved_.reset();
-  Tried_.insert(G.Number_);
+  UnresolvedSpare_.reset();
+  TriedSpares_.insert(G.Number_);
   if (!Won) {
     ++Misses_;
     return;
@@ -114,12 +115,13 @@
 std::string OriginBudget::note() const {
   std::ostringstream Out;
   for (SliceIndex S = 0; S < Slices_; ++S)
-    if (Fate_[S] == SliceFate::Mine)
-      Out << SliceWord << ' ' << S << '\n';
-  Charged_.forEach([&](ChunkIndex I) { Out << ReadWord << ' ' << I << '\n'; });
-  for (std::uint32_t Number : Tried_)
-    Out << SpareWord << ' ' << Number << '\n';
-  Out << LeftWord << ' ' << SpareReads_ << '\n';
+    if (SliceStates_[S] == SliceState::Mine)
+      Out << SliceKeyword << ' ' << S << '\n';
+  Charged_.forEach(
+      [&](ChunkIndex I) { Out << ReadKeyword << ' ' << I << '\n'; });
+  for (std::uint32_t Number : TriedSpares_)
+    Out << SpareKeyword << ' ' << Number << '\n';
+  Out << LeftKeyword << ' ' << SpareReads_ << '\n';
   return Out.str();
 }
 
@@ -128,13 +130,13 @@
   std::string Word;
   std::uint32_t Number = 0;
   while (In >> Word >> Number) {
-    if (Word == SliceWord && Number < Slices_)
-      Fate_[Number] = SliceFate::Mine;
-    else if (Word == ReadWord)
+    if (Word == SliceKeyword && Number < Slices_)
+      SliceStates_[Number] = SliceState::Mine;
+    else if (Word == ReadKeyword)
       Charged_.add(Number);
-    else if (Word == SpareWord && Number < Spares_)
-      Tried_.insert(Number);
-    else if (Word == LeftWord)
+    else if (Word == SpareKeyword && Number < Spares_)
+      TriedSpares_.insert(Number);
+    else if (Word == LeftKeyword)
       SpareReads_ = Number;
   }
 }
--- a/hawthornroad/weights/OriginSwarm.h
+++ b/hawthornroad/weights/OriginSwarm.h
@@ -1,10 +1,10 @@
-// How a swarm is set where versions come from an origin behind a narrow link,
-// there is no ledger of grants, and the whole of a version is due in seconds:
-// the figures of agents beside engines, and of the model that measures them.
+// Swarm settings for versions that come from an origin behind a narrow link,
+// without a ledger of grants, and with seconds to deliver a whole version. Used
+// by the agents beside engines and by the simulation model that measures them.
 //
 //   Swarm S(originSwarmSetup({Vm, Zone}, OriginZone, Seed), Shape, Held, Now);
 //
-// Each figure stands in OriginSwarm.cpp with its reason.
+// OriginSwarm.cpp gives the reason for each setting.
 
 #ifndef HAWTHORNROAD_WEIGHTS_ORIGINSWARM_H
 #define HAWTHORNROAD_WEIGHTS_ORIGINSWARM_H
--- a/hawthornroad/weights/Owners.cpp
+++ b/hawthornroad/weights/Owners.cpp
@@ -8,8 +8,8 @@
 namespace hawthornroad {
 
 namespace {
-// The finalizer of SplitMix64: spreads the combined hashes of slice and VM.
-std::uint64_t mix(std::uint64_t X) {
+// The SplitMix64 finalizer: mixes the combined hashes of slice and VM.
+std::uint64_t mixBits(std::uint64_t X) {
   X += 0x9e3779b97f4a7c15ULL;
   X = (X ^ (X >> 30)) * 0xbf58476d1ce4e5b9ULL;
   X = (X ^ (X >> 27)) * 0x94d049bb133111ebULL;
@@ -47,17 +47,17 @@
     else
       OtherZones_ = true;
   }
-  chooseReaders();
+  assignTurns();
   for (SliceIndex S = 0; S < Rank_.size(); ++S)
     rankSlice(S);
 }
 
 std::uint64_t Owners::score(SliceIndex S, std::size_t Peer) const {
-  return mix(SliceHash_[S] ^ PeerHash_[Peer]);
+  return mixBits(SliceHash_[S] ^ PeerHash_[Peer]);
 }
 
-void Owners::chooseReaders() {
-  Order_.assign(Peers_.size(), {});
+void Owners::assignTurns() {
+  PeerTurns_.assign(Peers_.size(), {});
   if (NearOrigin_.empty())
     return;
   std::map<AvailabilityZone, std::vector<std::size_t>> Zones;
@@ -66,31 +66,33 @@
   for (auto &[Zone, Members] : Zones) {
     bool IsNear = Zone == NearOrigin_;
     std::size_t First =
-        std::min(IsNear ? MaxReaders : MaxCrossers, Members.size());
+        std::min(IsNear ? MaxReaders : MaxCrossZoneFetchers, Members.size());
     std::sort(Members.begin(), Members.end(),
               [&](std::size_t A, std::size_t B) {
                 return PeerHash_[A] > PeerHash_[B];
               });
     for (std::size_t N = 0; N < Members.size(); ++N) {
-      Turn &T = Order_[Members[N]];
+      ReadTurn &T = PeerTurns_[Members[N]];
       T.Class_ = (N < First ? 0U : 1U) + (IsNear ? 0U : 2U);
       T.Index_ = N;
-      T.Of_ = N < First ? First : 0;
+      T.TurnCount_ = N < First ? First : 0;
     }
   }
 }
 
-// Those that come first in a zone take turns, so that each owns as many slices
-// as the next: by a hash of their own some of eight had twice as many, and were
-// waited for.
+// The first VMs of a zone take turns, so that each owns the same number of
+// slices: with a hash for each slice some of eight VMs had twice as many
+// slices, and the fleet waited for them.
 std::size_t Owners::turnOf(SliceIndex S, std::size_t Peer) const {
-  const Turn &T = Order_[Peer];
-  return T.Of_ == 0 ? 0 : (T.Index_ + T.Of_ - S % T.Of_) % T.Of_;
+  const ReadTurn &T = PeerTurns_[Peer];
+  return T.TurnCount_ == 0
+             ? 0
+             : (T.Index_ + T.TurnCount_ - S % T.TurnCount_) % T.TurnCount_;
 }
 
 bool Owners::isBefore(SliceIndex S, std::size_t A, std::size_t B) const {
-  if (Order_[A].Class_ != Order_[B].Class_)
-    return Order_[A].Class_ < Order_[B].Class_;
+  if (PeerTurns_[A].Class_ != PeerTurns_[B].Class_)
+    return PeerTurns_[A].Class_ < PeerTurns_[B].Class_;
   std::size_t TurnA = turnOf(S, A);
   std::size_t TurnB = turnOf(S, B);
   if (TurnA != TurnB)
@@ -130,7 +132,7 @@
   if (Others.empty())
     return {};
   std::set<Vm> Chosen;
-  // The ring: the next VM by name.
+  // Ring successor: the next VM by name.
   auto Next = std::upper_bound(Others.begin(), Others.end(), Self_.Vm_.str());
   Chosen.insert(Vm(Next == Others.end() ? Others.front() : *Next));
   for (std::size_t I : rendezvousTop(Self_.Vm_.str(), Others, ZoneNeighbours))
@@ -139,7 +141,7 @@
   return {Chosen.begin(), Chosen.end()};
 }
 
-std::vector<Vm> Owners::sourcesOutside(SliceIndex S) const {
+std::vector<Vm> Owners::sourcesInOtherZones(SliceIndex S) const {
   std::map<AvailabilityZone, std::size_t> ZoneOwner;
   for (std::size_t I = 0; I < Peers_.size(); ++I) {
     if (Peers_[I].Zone_ == Self_.Zone_)
--- a/hawthornroad/weights/Owners.h
+++ b/hawthornroad/weights/Owners.h
@@ -1,20 +1,21 @@
-// Who brings which chunks into the fleet, and into each availability zone.
+// Assigns the VMs that fetch each chunk into the fleet and into each
+// availability zone.
 //
 //   Owners O(Version, SliceCount, {SelfVm, SelfZone});
 //   O.setPeers(Peers);
 //   O.rank(S)       // 0: this VM reads slice S from the origin
-//   O.zoneRank(S)   // 0: this VM takes slice S into its zone
+//   O.zoneRank(S)   // 0: this VM fetches slice S into its zone
 //
-// Chunks are dealt into slices (chunk i into slice i modulo their number). For
-// each slice a rendezvous hash orders all live VMs; the first is the owner. The
-// same order restricted to a zone gives the zone's owner, so the owner is also
-// its own zone's. Every VM works this out alone; when views differ, two VMs may
-// hold themselves for the owner, and OriginBudget decides between them.
+// Chunk i belongs to slice i modulo the number of slices. For each slice a
+// rendezvous hash orders all live VMs; the first is the owner. The same order
+// restricted to a zone gives the zone's owner, so the owner is also its own
+// zone's owner. Each VM computes this locally; when views differ, two VMs may
+// take themselves for the owner, and OriginBudget decides between them.
 //
 // There are at most MaxSlices slices whatever the fleet's size: few VMs read
-// the origin at once, so the first chunks are whole early instead of all being
-// half-way, and the ledger of grants stays small.
-// Cost of setPeers: slices * peers hashes of two words.
+// the origin at once, so the first chunks are complete early instead of all
+// being partly read, and the ledger of grants stays small. Cost of setPeers():
+// slices * peers hashes of two words.
 
 #ifndef HAWTHORNROAD_WEIGHTS_OWNERS_H
 #define HAWTHORNROAD_WEIGHTS_OWNERS_H
@@ -39,67 +40,69 @@
 
 class Owners {
 public:
-  // Peers of the own zone that a VM watches, of its own choice.
+  // Number of peers of its own zone that a VM chooses to watch.
   static constexpr std::size_t ZoneNeighbours = 6;
-  // Owners of other zones watched for each slice, beside the slice's owner.
+  // Zone owners watched for each slice, in addition to the slice's owner.
   static constexpr std::size_t ZonesWatched = 2;
-  // With eight, a chunk of a megabyte's fortieth over 4 Mbit/s takes 0.4 s.
+  // With eight readers, a chunk of one fortieth of a megabyte takes 0.4 s over
+  // 4 Mbit/s.
   static constexpr std::size_t MaxReaders = 8;
-  // VMs of a zone that take chunks into it from other zones. Four of 7 Mbit/s
-  // take in several times what a narrow origin sends. Each that crosses has a
-  // share of the link between two regions, and so has whoever reads a
-  // configuration over it: beside 31 of them 336 KB take 2.8 s of 31 Mbit/s,
-  // beside four 0.4 s (computed).
-  static constexpr std::size_t MaxCrossers = 8;
-
-  // NearOrigin: VMs of this zone own the slices while there are any, so that a
-  // slice crosses between zones once for each other zone and not once more on
-  // its way from the origin; and only MaxReaders of them, since many readers of
-  // a narrow origin make every chunk slow, and their silence between two chunks
-  // looks like a failure; and of each other zone MaxCrossers take slices into
-  // it. Empty: all VMs alike.
+  // VMs of a zone that fetch chunks from other zones. Four VMs of 7 Mbit/s
+  // receive several times what a narrow origin sends. Each of them takes a
+  // share of the link between two regions, which configuration reads use as
+  // well: beside 31 fetching VMs, 336 KB take 2.8 s of 31 Mbit/s, beside four
+  // 0.4 s (computed).
+  static constexpr std::size_t MaxCrossZoneFetchers = 8;
+
+  // NearOrigin: while this zone has VMs, they own the slices, so that a slice
+  // crosses between zones once for each other zone and not once more on its way
+  // from the origin. At most MaxReaders of them do: many readers of a narrow
+  // origin make every chunk slow, and the silence between two chunks then looks
+  // like a failure. In each other zone MaxCrossZoneFetchers VMs fetch slices
+  // into it. Empty: all VMs are equal.
   Owners(const VersionDigest &Version, SliceIndex Slices, SwarmPeer Self,
          AvailabilityZone NearOrigin = {});
 
-  // All live VMs that need the version; Self may be left out.
+  // All live VMs that need the version; Self may be omitted.
   void setPeers(std::vector<SwarmPeer> Peers);
 
   std::size_t rank(SliceIndex S) const { return Rank_[S]; }
   std::size_t zoneRank(SliceIndex S) const { return ZoneRank_[S]; }
   const Vm &owner(SliceIndex S) const { return Peers_[Owner_[S]].Vm_; }
-  // Whether any peer lives in another zone.
+  // Whether any peer is in another zone.
   bool hasOtherZones() const { return OtherZones_; }
   bool isInZone(const Vm &V) const { return InZone_.contains(V); }
   bool isKnown(const Vm &V) const;
-  // Random but steady neighbours in the zone; the ring among them makes the
-  // zone connected.
+  // Random but stable neighbours in the zone. They include the next VM of a
+  // ring, which keeps the zone connected.
   std::vector<Vm> zoneNeighbours() const;
-  // Where to look for slice S outside the zone: its owner, then the owners of
-  // the next zones.
-  std::vector<Vm> sourcesOutside(SliceIndex S) const;
+  // Sources of slice S outside the zone: its owner, then the owners of the next
+  // zones.
+  std::vector<Vm> sourcesInOtherZones(SliceIndex S) const;
   const std::vector<SwarmPeer> &peers() const { return Peers_; }
 
 private:
   std::uint64_t score(SliceIndex S, std::size_t Peer) const;
   void rankSlice(SliceIndex S);
-  // Whether peer A goes before peer B in the order of a slice.
+  // Whether peer A precedes peer B in the order of a slice.
   bool isBefore(SliceIndex S, std::size_t A, std::size_t B) const;
 
-  void chooseReaders();
+  void assignTurns();
 
   VersionDigest Version_;
   AvailabilityZone NearOrigin_;
-  // A peer's part in the order. Class 0 reads the origin first, then 1, and so
-  // on; of a class whose members take turns, its index among Of_.
-  struct Turn {
+  // A peer's position in the order. Class 0 reads the origin first, then class
+  // 1, and so on; in a class that takes turns, the peer's index among
+  // TurnCount_.
+  struct ReadTurn {
     unsigned Class_ = 0;
     std::size_t Index_ = 0;
-    std::size_t Of_ = 0;
+    std::size_t TurnCount_ = 0;
   };
   std::size_t turnOf(SliceIndex S, std::size_t Peer) const;
 
-  // By peer.
-  std::vector<Turn> Order_;
+  // Indexed by peer.
+  std::vector<ReadTurn> PeerTurns_;
   SwarmPeer Self_;
   std::vector<SwarmPeer> Peers_;
   std::vector<std::uint64_t> PeerHash_;
--- a/hawthornroad/weights/Swarm.cpp
+++ b/hawthornroad/weights/Swarm.cpp
@@ -5,24 +5,24 @@
 namespace hawthornroad {
 
 namespace {
-// Neighbours watched in return, beside those of the own choice.
-constexpr std::size_t MaxGuests = 10;
-// Later ranks wait no longer than this many timeouts.
+// Neighbours watched in return, in addition to those that this VM chose.
+constexpr std::size_t MaxReciprocalPeers = 10;
+// Upper limit of the rank in timeouts: later ranks wait no longer.
 constexpr std::size_t MaxRank = 64;
-// With no news of any slice for this many timeouts, all count as late.
+// With no new chunk of any slice for this many timeouts, all slices are late.
 constexpr int SilentTimeouts = 3;
-// Ranks that claim a slice's grant on time alone: bounds the table's writes
-// under a slow origin. That so many in a row are all cut off is unlikely, and
-// later ranks still step in when the slice is late.
-constexpr std::size_t MaxTakers = 16;
-// An owner reads its chunks in their order, two at a time, and what it has got
-// is known here some tens of milliseconds later. So many of the first ones that
-// nobody has are left to it for as long as reads take here: read by another at
-// once, they came twice (a quarter of a version in fleets of 58 to 820 VMs, and
-// as much later; bench/WeightsBench --narrow-origin).
-constexpr std::size_t OwnersNext = 4;
-// Ranks that read for a slow owner: more of them would read the same chunks.
-constexpr std::size_t MaxThieves = 4;
+// Ranks that may claim a slice's grant on time alone: limits writes to the
+// table under a slow origin. It is unlikely that so many in a row are all cut
+// off, and later ranks still step in when the slice is late.
+constexpr std::size_t MaxTakeoverRank = 16;
+// An owner reads its chunks in order, two at a time, and other VMs learn of
+// each some tens of milliseconds later. So many of its first chunks that nobody
+// holds are left to the owner for one more read time: when other VMs read them
+// immediately, they were read twice (a quarter of a version in fleets of 58 to
+// 820 VMs, which delayed it by as much; bench/WeightsBench --narrow-origin).
+constexpr std::size_t OwnerReadAhead = 4;
+// Ranks that may read for a slow owner: more VMs would read the same chunks.
+constexpr std::size_t MaxHelperRank = 4;
 } // namespace
 
 Swarm::Swarm(Setup S, const ContentShape &C, ChunkSet Held, TimePoint Now)
@@ -32,13 +32,14 @@
               Setup_.OriginZone_),
       Exchange_(std::move(Held), Setup_.Exchange_),
       Plan_(C.Chunks_, Setup_.Plan_, Random_.next()),
-      ZoneNews_(Budget_.sliceCount(), Now), News_(Budget_.sliceCount(), Now),
-      SeenAt_(Budget_.sliceCount(), 0), AnyNews_(Now),
-      Crosses_(Budget_.sliceCount(), false), MayCross_(C.Chunks_),
-      Wasted_(C.Chunks_), OriginPause_(Now + Setup_.LoneGrace_),
-      OriginBackAt_(Now), OwnNewsAt_(Now) {
-  refreshCrossing(Now);
-  rewatch();
+      ZoneNewChunkAt_(Budget_.sliceCount(), Now),
+      SliceNewChunkAt_(Budget_.sliceCount(), Now),
+      SeenCountAt_(Budget_.sliceCount(), 0), LastNewChunkAt_(Now),
+      CrossZoneSlices_(Budget_.sliceCount(), false), MayCross_(C.Chunks_),
+      WastedReads_(C.Chunks_), OriginPausedUntil_(Now + Setup_.NoPeersGrace_),
+      OriginRestoredAt_(Now), LastReceivedAt_(Now) {
+  updateCrossZoneSlices(Now);
+  updateWatched();
 }
 
 void Swarm::setRollout(RolloutPreference Preference, double Copies) {
@@ -51,69 +52,70 @@
   std::vector<Vm> Before;
   for (const SwarmPeer &P : Owners_.peers())
     Before.push_back(P.Vm_);
-  if (Lone_ && !Peers.empty()) {
-    Lone_ = false;
-    OriginPause_ = Now;
+  if (HasNoPeers_ && !Peers.empty()) {
+    HasNoPeers_ = false;
+    OriginPausedUntil_ = Now;
   }
   Owners_.setPeers(std::move(Peers));
   for (const Vm &V : Before)
     if (!Owners_.isKnown(V))
       onLost(V, Now);
-  std::erase_if(Guests_, [&](const Vm &V) { return !Owners_.isInZone(V); });
-  refreshCrossing(Now);
-  rewatch();
+  std::erase_if(ReciprocalPeers_,
+                [&](const Vm &V) { return !Owners_.isInZone(V); });
+  updateCrossZoneSlices(Now);
+  updateWatched();
 }
 
-void Swarm::refreshCrossing(TimePoint Now) {
-  std::vector<bool> Before = Crosses_;
-  for (SliceIndex S = 0; S < Crosses_.size(); ++S)
-    Crosses_[S] = Owners_.hasOtherZones() && isLateInZone(S, Now);
-  if (Crosses_ == Before)
+void Swarm::updateCrossZoneSlices(TimePoint Now) {
+  std::vector<bool> Before = CrossZoneSlices_;
+  for (SliceIndex S = 0; S < CrossZoneSlices_.size(); ++S)
+    CrossZoneSlices_[S] = Owners_.hasOtherZones() && isLateInZone(S, Now);
+  if (CrossZoneSlices_ == Before)
     return;
   for (ChunkIndex I = 0; I < MayCross_.size(); ++I) {
-    if (Crosses_[Budget_.sliceOf(I)])
+    if (CrossZoneSlices_[Budget_.sliceOf(I)])
       MayCross_.add(I);
     else
       MayCross_.remove(I);
   }
-  rewatch();
+  updateWatched();
 }
 
-void Swarm::rewatch() {
+void Swarm::updateWatched() {
   std::map<Vm, bool> Watched;
   for (const Vm &V : Owners_.zoneNeighbours())
     Watched[V] = true;
-  for (const Vm &V : Guests_)
+  for (const Vm &V : ReciprocalPeers_)
     Watched[V] = true;
-  for (SliceIndex S = 0; S < Crosses_.size(); ++S) {
-    if (!Crosses_[S])
+  for (SliceIndex S = 0; S < CrossZoneSlices_.size(); ++S) {
+    if (!CrossZoneSlices_[S])
       continue;
-    for (const Vm &V : Owners_.sourcesOutside(S))
+    for (const Vm &V : Owners_.sourcesInOtherZones(S))
       Watched[V] = false;
   }
   Exchange_.watch(Watched);
 }
 
-void Swarm::noteNews(const std::vector<ChunkIndex> &Fresh, bool InZone,
-                     TimePoint Now) {
+void Swarm::recordNewChunks(const std::vector<ChunkIndex> &Fresh, bool InZone,
+                            TimePoint Now) {
   for (ChunkIndex I : Fresh) {
     if (held().has(I))
       continue;
     SliceIndex S = Budget_.sliceOf(I);
-    AnyNews_ = News_[S] = Now;
+    LastNewChunkAt_ = SliceNewChunkAt_[S] = Now;
     if (Setup_.WatchOwners_)
-      OwnerNews_[Owners_.owner(S)] = Now;
-    SeenAt_[S] = ++Seen_;
+      OwnerNewChunkAt_[Owners_.owner(S)] = Now;
+    SeenCountAt_[S] = ++SeenCount_;
     if (InZone)
-      ZoneNews_[S] = Now;
+      ZoneNewChunkAt_[S] = Now;
   }
 }
 
-void Swarm::noteOwn(ChunkIndex Index, TimePoint Now) {
+void Swarm::recordOwnChunk(ChunkIndex Index, TimePoint Now) {
   if (Exchange_.anywhere(Index) == 0)
-    noteNews({Index}, true, Now);
-  ZoneNews_[Budget_.sliceOf(Index)] = Now;
-  OwnNewsAt_ = Now;
+    recordNewChunks({Index}, true, Now);
+  ZoneNewChunkAt_[Budget_.sliceOf(Index)] = Now;
+  LastReceivedAt_ = Now;
   Exchange_.noteHeld(Index);
 }
 
@@ -121,57 +123,59 @@
   if (!Exchange_.onAsk(From, Now) || isDone())
     return;
   if (!Owners_.isInZone(From) || Exchange_.find(From) != nullptr ||
-      Guests_.size() >= MaxGuests)
+      ReciprocalPeers_.size() >= MaxReciprocalPeers)
     return;
-  Guests_.insert(From);
-  rewatch();
+  ReciprocalPeers_.insert(From);
+  updateWatched();
 }
 
 void Swarm::onHave(const Vm &From, const ChunkSet &Have, std::size_t Load,
                    TimePoint Now) {
   if (Have.size() == held().size())
-    noteNews(Exchange_.onHave(From, Have, Load), Owners_.isInZone(From), Now);
+    recordNewChunks(Exchange_.onHave(From, Have, Load), Owners_.isInZone(From),
+                    Now);
 }
 
 void Swarm::onAdded(const Vm &From, const std::vector<ChunkIndex> &Added,
                     std::size_t Load, TimePoint Now) {
-  noteNews(Exchange_.onAdded(From, Added, Load), Owners_.isInZone(From), Now);
+  recordNewChunks(Exchange_.onAdded(From, Added, Load), Owners_.isInZone(From),
+                  Now);
 }
 
 void Swarm::onChunk(ChunkIndex Index, const Vm &From, TimePoint Now) {
-  Plan_.finish(Index, From, FetchEnd::Good, Now);
-  noteOwn(Index, Now);
+  Plan_.finish(Index, From, FetchResult::Good, Now);
+  recordOwnChunk(Index, Now);
 }
 
-void Swarm::onRefused(ChunkIndex Index, const Vm &From, FetchEnd End,
+void Swarm::onRefused(ChunkIndex Index, const Vm &From, FetchResult Result,
                       TimePoint Now) {
-  Plan_.finish(Index, From, End, Now);
-  if (End == FetchEnd::Missing)
+  Plan_.finish(Index, From, Result, Now);
+  if (Result == FetchResult::Missing)
     Exchange_.onMissing(From, Index);
 }
 
-void Swarm::onOrigin(ChunkIndex Index, OriginEnd End, TimePoint Now) {
-  if (Reading_ > 0)
-    --Reading_;
+void Swarm::onOrigin(ChunkIndex Index, OriginReadResult Result, TimePoint Now) {
+  if (OriginReadsInFlight_ > 0)
+    --OriginReadsInFlight_;
   OriginDue_ = true;
-  auto Begun = FromOrigin_.extract(Index);
+  auto Begun = OriginReadStarts_.extract(Index);
   Plan_.release(Index);
-  switch (End) {
-  case OriginEnd::Good:
+  switch (Result) {
+  case OriginReadResult::Good:
     noteOriginSeen(Now);
     if (!Begun.empty())
-      UsualRead_ = Now - Begun.mapped();
-    noteOwn(Index, Now);
+      LastReadTime_ = Now - Begun.mapped();
+    recordOwnChunk(Index, Now);
     return;
-  case OriginEnd::Nothing:
+  case OriginReadResult::Nothing:
     Budget_.refund(Index);
     OriginSeen_.reset();
-    OriginPause_ = Now + Random_.jitter(Setup_.OriginRetry_, 0.5);
+    OriginPausedUntil_ = Now + Random_.jitter(Setup_.OriginRetry_, 0.5);
     return;
-  case OriginEnd::Wasted:
+  case OriginReadResult::Wasted:
     noteOriginSeen(Now);
-    Wasted_.add(Index);
-    OriginPause_ = Now + Random_.jitter(Setup_.OriginAgain_, 0.5);
+    WastedReads_.add(Index);
+    OriginPausedUntil_ = Now + Random_.jitter(Setup_.WastedReadRetry_, 0.5);
     return;
   }
 }
@@ -180,15 +184,15 @@
   Budget_.onClaim(G, Result);
   OriginDue_ = true;
   if (Result == ClaimResult::Unknown)
-    OriginPause_ = Now + Random_.jitter(Setup_.OriginRetry_, 0.5);
+    OriginPausedUntil_ = Now + Random_.jitter(Setup_.OriginRetry_, 0.5);
 }
 
 void Swarm::onOriginChecked(bool Answers, TimePoint Now) {
-  Checking_ = false;
+  CheckInFlight_ = false;
   if (Answers)
     noteOriginSeen(Now);
   else
-    OriginPause_ = Now + Random_.jitter(Setup_.OriginRetry_, 0.5);
+    OriginPausedUntil_ = Now + Random_.jitter(Setup_.OriginRetry_, 0.5);
 }
 
 void Swarm::onLost(const Vm &Peer, TimePoint Now) {
@@ -199,45 +203,47 @@
 Duration Swarm::timeout(std::size_t Rank) const {
   Duration One = Setup_.Preference_ == RolloutPreference::Time
                      ? Setup_.SliceTimeout_
-                     : Setup_.FrugalSliceTimeout_;
+                     : Setup_.OriginBytesSliceTimeout_;
   return One * static_cast<Duration::rep>(std::min(Rank, MaxRank));
 }
 
 bool Swarm::isLateInZone(SliceIndex S, TimePoint Now) const {
   auto Rank = static_cast<Duration::rep>(Owners_.zoneRank(S));
-  return Now - ZoneNews_[S] >= Setup_.ZoneTimeout_ * Rank;
+  return Now - ZoneNewChunkAt_[S] >= Setup_.ZoneTimeout_ * Rank;
 }
 
 bool Swarm::isLate(SliceIndex S, std::size_t Rank, TimePoint Now) const {
-  if (Now - News_[S] < timeout(Rank))
+  if (Now - SliceNewChunkAt_[S] < timeout(Rank))
     return false;
-  if (Now - AnyNews_ >= timeout(Rank) * SilentTimeouts)
+  if (Now - LastNewChunkAt_ >= timeout(Rank) * SilentTimeouts)
     return true;
-  return Seen_ - SeenAt_[S] >=
-         Rank * Setup_.LagNews_ * static_cast<std::size_t>(SeenAt_.size());
+  return SeenCount_ - SeenCountAt_[S] >=
+         Rank * Setup_.LagChunks_ *
+             static_cast<std::size_t>(SeenCountAt_.size());
 }
 
 void Swarm::noteOriginSeen(TimePoint Now) {
   if (!OriginSeen_)
-    OriginBackAt_ = Now;
+    OriginRestoredAt_ = Now;
   OriginSeen_ = Now;
 }
 
-// The last evidence that somebody is at work on a slice.
-TimePoint Swarm::lastSign(SliceIndex S) const {
+// Returns the time of the last sign that a VM is reading the slice.
+TimePoint Swarm::lastActivity(SliceIndex S) const {
   if (!Setup_.WatchOwners_)
-    return News_[S];
-  auto Found = OwnerNews_.find(Owners_.owner(S));
-  TimePoint OfOwner = Found == OwnerNews_.end() ? OriginBackAt_ : Found->second;
-  return std::max({News_[S], OfOwner, OriginBackAt_});
+    return SliceNewChunkAt_[S];
+  auto Found = OwnerNewChunkAt_.find(Owners_.owner(S));
+  TimePoint OfOwner =
+      Found == OwnerNewChunkAt_.end() ? OriginRestoredAt_ : Found->second;
+  return std::max({SliceNewChunkAt_[S], OfOwner, OriginRestoredAt_});
 }
 
 bool Swarm::mayTakeOver(SliceIndex S, std::size_t Rank, TimePoint Now) const {
-  return Rank <= MaxTakers && Budget_.isUnclaimed(S) &&
-         Now - lastSign(S) >= timeout(Rank);
+  return Rank <= MaxTakeoverRank && Budget_.isUnclaimed(S) &&
+         Now - lastActivity(S) >= timeout(Rank);
 }
 
-void Swarm::noteIdle(TimePoint Now) {
+void Swarm::updateIdle(TimePoint Now) {
   for (ChunkIndex I = 0; I < held().size(); ++I) {
     bool IsMine = Owners_.rank(Budget_.sliceOf(I)) == 0;
     if (IsMine && !held().has(I) && Exchange_.anywhere(I) == 0)
@@ -247,52 +253,52 @@
     IdleSince_ = Now;
 }
 
-bool Swarm::maySteal(std::size_t Rank, Duration More, TimePoint Now) const {
-  if (!Setup_.WatchOwners_ || Setup_.StealAfter_ <= Duration::zero())
+bool Swarm::mayHelp(std::size_t Rank, Duration More, TimePoint Now) const {
+  if (!Setup_.WatchOwners_ || Setup_.HelpAfter_ <= Duration::zero())
     return false;
-  if (Rank == 0 || Rank > MaxThieves || !IdleSince_ || !originIsFresh(Now))
+  if (Rank == 0 || Rank > MaxHelperRank || !IdleSince_ || !originIsFresh(Now))
     return false;
   return Now - *IdleSince_ >=
-         Setup_.StealAfter_ * static_cast<Duration::rep>(Rank) + More;
+         Setup_.HelpAfter_ * static_cast<Duration::rep>(Rank) + More;
 }
 
 bool Swarm::isStuck(ChunkIndex Index, TimePoint Now) const {
   std::size_t Rank =
       std::max<std::size_t>(1, Owners_.rank(Budget_.sliceOf(Index)));
-  return Exchange_.anywhere(Index) <= 1 && !FromOrigin_.contains(Index) &&
-         maySteal(Rank, UsualRead_, Now) &&
-         Now - OwnNewsAt_ >= Setup_.StealAfter_;
+  return Exchange_.anywhere(Index) <= 1 && !OriginReadStarts_.contains(Index) &&
+         mayHelp(Rank, LastReadTime_, Now) &&
+         Now - LastReceivedAt_ >= Setup_.HelpAfter_;
 }
 
-bool Swarm::stepIn(ChunkIndex Index, bool IsOwnersNext,
-                   std::vector<SwarmAction> &Out, TimePoint Now) {
+bool Swarm::tryOriginRead(ChunkIndex Index, bool IsOwnerReadAhead,
+                          std::vector<SwarmAction> &Out, TimePoint Now) {
   SliceIndex S = Budget_.sliceOf(Index);
   std::size_t Rank = Owners_.rank(S);
-  Duration More = IsOwnersNext ? UsualRead_ : Duration::zero();
-  bool MaySteal = maySteal(Rank, More, Now);
-  // A VM that read the chunk in vain knows better than to wait for others.
-  bool IsTurn = Wasted_.has(Index) || isLate(S, Rank, Now);
-  // A claim won in another's place is used while the other stays silent.
+  Duration More = IsOwnerReadAhead ? LastReadTime_ : Duration::zero();
+  bool MayHelp = mayHelp(Rank, More, Now);
+  // A VM whose own read of the chunk failed does not wait for others.
+  bool IsTurn = WastedReads_.has(Index) || isLate(S, Rank, Now);
+  // A grant won in another VM's place is used only while that VM stays silent.
   bool IsReader = Budget_.isReader(Index);
   if (Setup_.WatchOwners_ && Rank > 0)
-    IsReader = IsReader && (Now - lastSign(S) >= timeout(Rank) || MaySteal);
+    IsReader = IsReader && (Now - lastActivity(S) >= timeout(Rank) || MayHelp);
   if (IsReader || (IsTurn && Budget_.mayRead(Index))) {
     Budget_.spend(Index);
     Plan_.reserve(Index);
-    FromOrigin_.emplace(Index, Now);
-    ++Reading_;
+    OriginReadStarts_.emplace(Index, Now);
+    ++OriginReadsInFlight_;
     Out.push_back(ReadOrigin{Index});
     return true;
   }
-  if (!IsTurn && !mayTakeOver(S, Rank, Now) && !MaySteal)
+  if (!IsTurn && !mayTakeOver(S, Rank, Now) && !MayHelp)
     return false;
-  // Beyond the slice's own grant, even its owner waits a turn: the grant's
-  // holder may be another VM that is reading.
-  bool MaySpare = Wasted_.has(Index) || isLate(S, Rank + 1, Now);
+  // Beyond the slice's own grant, even its owner waits one rank longer: the
+  // grant may be held by another VM that is reading.
+  bool MaySpare = WastedReads_.has(Index) || isLate(S, Rank + 1, Now);
   if ((MaySpare || Rank > 0) && !originIsFresh(Now)) {
-    if (!Checking_)
+    if (!CheckInFlight_)
       Out.push_back(CheckOrigin{});
-    Checking_ = true;
+    CheckInFlight_ = true;
     return true;
   }
   auto G = Budget_.nextClaim(Index, MaySpare, Random_);
@@ -302,24 +308,25 @@
 }
 
 void Swarm::readOrigin(std::vector<SwarmAction> &Out, TimePoint Now) {
-  if (Now < OriginPause_)
+  if (Now < OriginPausedUntil_)
     return;
   const ChunkSet &Held = held();
-  noteIdle(Now);
-  // Chunks of each owner that nobody has yet, as far as the pass has come.
+  updateIdle(Now);
+  // Chunks of each owner, up to the current index, that no VM holds yet.
   std::map<Vm, std::size_t> Unread;
   for (ChunkIndex I = 0; I < Held.size(); ++I) {
-    if (Reading_ >= Setup_.OriginReads_)
+    if (OriginReadsInFlight_ >= Setup_.OriginReads_)
       return;
     if (Held.has(I))
       continue;
     bool IsStuck = isStuck(I, Now);
     bool IsUnread = Exchange_.anywhere(I) == 0;
-    bool IsOwnersNext =
-        IsUnread && Unread[Owners_.owner(Budget_.sliceOf(I))]++ < OwnersNext;
+    bool IsOwnerReadAhead =
+        IsUnread &&
+        Unread[Owners_.owner(Budget_.sliceOf(I))]++ < OwnerReadAhead;
     bool IsOnItsWay = !IsUnread || Plan_.isInFlight(I);
     if (!IsOnItsWay || IsStuck)
-      stepIn(I, IsOwnersNext, Out, Now);
+      tryOriginRead(I, IsOwnerReadAhead, Out, Now);
   }
 }
 
@@ -337,14 +344,14 @@
 
 std::vector<SwarmAction> Swarm::tick(TimePoint Now) {
   std::vector<SwarmAction> Out;
-  for (HaveNews &News : Exchange_.dueNews(Now))
-    Out.push_back(TellHave{std::move(News)});
+  for (HaveUpdate &Update : Exchange_.dueUpdates(Now))
+    Out.push_back(TellHave{std::move(Update)});
   if (isDone())
     return Out;
   for (const Vm &V : Exchange_.dueAsks(Now))
     Out.push_back(AskHave{V});
   Plan_.expire(Now);
-  refreshCrossing(Now);
+  updateCrossZoneSlices(Now);
   OriginDue_ = true;
   for (SwarmAction &A : pump(Now))
     Out.push_back(std::move(A));
@@ -358,7 +365,7 @@
   return Peers[G.Number_ % Peers.size()].Vm_ == Setup_.Self_.Vm_;
 }
 
-std::string Swarm::stalled(TimePoint Now) const {
+std::string Swarm::stallReason(TimePoint Now) const {
   if (isDone() || !Budget_.isSpent())
     return {};
   for (ChunkIndex I = 0; I < held().size(); ++I) {
--- a/hawthornroad/weights/UploadScheduler.cpp
+++ b/hawthornroad/weights/UploadScheduler.cpp
@@ -25,7 +25,7 @@
 std::optional<Upload> UploadScheduler::next(std::uint64_t Bytes,
                                             TimePoint Now) {
   std::erase_if(Active_, [&](const auto &Each) {
-    return Now - Each.second >= Limits_.GiveUp_;
+    return Now - Each.second >= Limits_.AckTimeout_;
   });
   if (Turns_.empty() || Active_.size() >= Limits_.Active_ || !Rate_.isOpen(Now))
     return std::nullopt;
--- a/hawthornroad/weights/UploadScheduler.h
+++ b/hawthornroad/weights/UploadScheduler.h
@@ -1,15 +1,17 @@
-// Which chunk to send to whom next: the requests of each peer wait in a short
-// queue of their own, and the queues take turns.
+// Schedules uploads of chunks to peers: each peer has a short queue, and the
+// queues are served round-robin.
 //
 //   UploadScheduler Uploads({}, Settings.UploadRate_);
 //   if (!Uploads.request({.Peer_ = V, .Version_ = D, .Chunk_ = 7}))
 //     reply("busy");
 //   while (auto Next = Uploads.next(ChunkBytes, Now)) send(*Next);
-//   Uploads.finish(*Next);             // the peer has it, or is gone
+//   Uploads.finish(*Next);             // received by the peer, or the peer is
+//   gone
 //
-// Turns keep one greedy or slow peer from holding up the others. Bounds: Active
-// uploads hold a chunk in memory each, so memory is Active_ chunks whatever the
-// number of peers; a peer waits for at most PerPeer_ chunks, all for Total_.
+// Round-robin keeps one greedy or slow peer from delaying the others. Limits:
+// each active upload holds one chunk in memory, so memory is Active_ chunks
+// whatever the number of peers; PerPeer_ chunks wait for one peer, Total_ for
+// all.
 
 #ifndef HAWTHORNROAD_WEIGHTS_UPLOADSCHEDULER_H
 #define HAWTHORNROAD_WEIGHTS_UPLOADSCHEDULER_H
@@ -34,34 +36,35 @@
 class UploadScheduler {
 public:
   struct Limits {
-    // Chunks read from the store and not yet taken by their peers.
+    // Chunks read from the store and not yet received by their peers.
     std::size_t Active_ = 4;
     std::size_t PerPeer_ = 4;
     std::size_t Total_ = 16;
-    // A peer that has not taken a chunk for this long frees its place: its
+    // An upload that is not acknowledged for this long frees its slot: the
     // acknowledgement may have been lost with a connection.
-    Duration GiveUp_ = Seconds(30);
+    Duration AckTimeout_ = Seconds(30);
   };
 
   UploadScheduler(Limits L, std::int64_t BytesPerSecond)
       : Limits_(L), Rate_(BytesPerSecond) {}
 
-  // False when a queue is full. A request that already waits or is being
-  // served counts once.
+  // Returns false when a queue is full. A request that is already queued or
+  // being served counts once.
   bool request(const Upload &U);
-  // The next upload to start, if one may start now; Bytes is a chunk's size.
+  // Returns the next upload to start, if one may start now; Bytes is the
+  // chunk's size.
   std::optional<Upload> next(std::uint64_t Bytes, TimePoint Now);
   void finish(const Upload &U);
-  // Drops all that waits for or goes to Peer.
+  // Drops all queued and active uploads to Peer.
   void forget(const Vm &Peer);
-  // Uploads waiting or active, for peers to weigh.
+  // Uploads queued or active; reported to peers for load balancing.
   std::size_t load() const { return Waiting_ + Active_.size(); }
 
 private:
   Limits Limits_;
   RateLimiter Rate_;
   std::map<Vm, std::deque<Upload>> Queues_;
-  // Peers with something waiting, in the order of their turns.
+  // Peers with queued uploads, in round-robin order.
   std::deque<Vm> Turns_;
   std::size_t Waiting_ = 0;
   std::map<Upload, TimePoint> Active_;
--- a/tests/integration/WeightsTest.cpp
+++ b/tests/integration/WeightsTest.cpp
@@ -1,6 +1,6 @@
-// Weights under failure, with real agents. The evidence is what each engine
-// stand-in recorded of the bytes it was given (it refuses none by itself) and
-// what the origin counted as sent.
+// Weight transfer under failures, with real agents. The checks use what each
+// engine stand-in recorded of the bytes it was given (it rejects none itself)
+// and what the origin counted as sent.
 
 #include "tests/integration/Fleet.h"
 
@@ -46,7 +46,7 @@
             Budget * static_cast<double>(V.Size_));
   }
 
-  // Every load any engine was ever given is exactly one of Whole.
+  // Checks that each load that any engine received is exactly one of Whole.
   void checkLoads(const std::vector<WeightVersion> &Whole) {
     for (FleetProcess *Each : Fleet_->modelAgents()) {
       auto Record = getJson(Each->Endpoint_->address(), "/admin/record");
@@ -87,8 +87,8 @@
     "weights, when the origin corrupts and truncates chunks, reach "
     "each engine whole and within the budget",
     "[weights]") {
-  // Bad bytes in a chunk would be answers of a model nobody trained. The
-  // origin flips a byte in each seventh answer and cuts each ninth short.
+  // An engine with corrupted chunks would serve a model that nobody trained.
+  // The origin flips a byte in each seventh answer and truncates each ninth.
   Fleet_->origin().setFaults(R"({"corrupt_every":7,"truncate_every":9})");
   WeightVersion V1 = Fleet_->publishWeights("v1", 1, LargeSize);
   declare(V1);
@@ -102,9 +102,9 @@
     "weights, when an agent is killed and replaced in mid-transfer, "
     "reach each engine whole and within the budget",
     "[weights]") {
-  // The agent dies with part of the chunks in the folder, one perhaps half
-  // written; its replacement counts only what it has verified, and must not
-  // read its grants a second time.
+  // The agent dies with part of the chunks on disk, one perhaps partly written.
+  // Its replacement counts only chunks that it has verified, and must not use
+  // its grants a second time.
   Fleet_->origin().setFaults(R"({"rate":400000})");
   WeightVersion V1 = Fleet_->publishWeights("v1", 1, LargeSize);
   declare(V1);
@@ -121,8 +121,8 @@
                  "weights, when the manifest is replaced at the origin, fail "
                  "clearly while the old version serves, and go on later",
                  "[weights]") {
-  // The operators declared V2 but its path now serves another manifest: to
-  // stage that under V2's name would mix versions.
+  // The operators declared V2 but its path now serves another manifest: staging
+  // that under V2's name would mix versions.
   WeightVersion V1 = Fleet_->publishWeights("v1", 1);
   declare(V1);
   Fleet_->awaitServing(V1);
@@ -139,7 +139,7 @@
             return true;
         return false;
       },
-      "an agent says why");
+      "an agent reports the reason");
   requireAllServe(V1);
   Fleet_->folder().write("origin" + V2.ManifestPath_, Right);
   Fleet_->awaitServing(V2);
@@ -179,7 +179,7 @@
         return !textAt(weights(*Fleet_->modelAgents().front()), "failure")
                     .empty();
       },
-      "the agent says that it cannot go on");
+      "the agent reports that it cannot proceed");
   requireAllServe(V1);
   Fleet_->origin().setFaults("{}");
   Fleet_->awaitServing(V2);
--- a/tests/unit/ChunkPlanTest.cpp
+++ b/tests/unit/ChunkPlanTest.cpp
@@ -71,8 +71,9 @@
                  "plan, at the end of a transfer, asks one more peer for a "
                  "chunk that takes long",
                  "[plan]") {
-  // The last chunk waits behind a stalled link while another peer has it: the
-  // VM, and with it the rollout, would wait for the whole timeout.
+  // The last chunk waits behind a stalled link while another peer has it:
+  // without a second request the VM, and with it the rollout, would wait for
+  // the whole timeout.
   for (ChunkIndex I = 0; I + 1 < Chunks; ++I)
     Exchange_.noteHeld(I);
   Exchange_.onHave(Near, setOf({7}), 0);
@@ -91,15 +92,15 @@
 TEST_CASE_METHOD(PlanFixture,
                  "plan, when a peer sends a bad chunk or none, asks another",
                  "[plan]") {
-  // Asking the same peer again and again would keep the chunk, and the
-  // version, from ever being whole.
-  auto End = GENERATE(FetchEnd::Bad, FetchEnd::Lost, FetchEnd::Busy);
+  // Requesting the chunk from the same peer over and over would keep the
+  // version from ever becoming complete.
+  auto End = GENERATE(FetchResult::Bad, FetchResult::Lost, FetchResult::Busy);
   Exchange_.onHave(Near, setOf({1}), 0);
   Exchange_.onHave(Second, setOf({1}), 3);
   REQUIRE(next() == ChunkFetch{1, Near});
   Plan_.finish(1, Near, End, Now_);
   REQUIRE(next() == ChunkFetch{1, Second});
-  // A late or doubled end changes nothing.
+  // A late or duplicate result changes nothing.
   Plan_.finish(1, Near, End, Now_);
   REQUIRE(Plan_.inFlight() == 1);
 }
@@ -138,12 +139,14 @@
                  "[plan]") {
   Exchange_.noteHeld(1);
   REQUIRE(Exchange_.onAsk(Near, Now_));
-  REQUIRE(Exchange_.dueNews(Now_) == std::vector<HaveNews>{{Near, true, {}}});
+  REQUIRE(Exchange_.dueUpdates(Now_) ==
+          std::vector<HaveUpdate>{{Near, true, {}}});
   Exchange_.noteHeld(2);
-  REQUIRE(Exchange_.dueNews(Now_).empty());
+  REQUIRE(Exchange_.dueUpdates(Now_).empty());
   Now_ += Seconds(1);
-  REQUIRE(Exchange_.dueNews(Now_) == std::vector<HaveNews>{{Near, false, {2}}});
+  REQUIRE(Exchange_.dueUpdates(Now_) ==
+          std::vector<HaveUpdate>{{Near, false, {2}}});
   Exchange_.noteHeld(3);
   Now_ += Seconds(7);
-  REQUIRE(Exchange_.dueNews(Now_).empty());
+  REQUIRE(Exchange_.dueUpdates(Now_).empty());
 }
--- a/tests/unit/DigestTreeTest.cpp
+++ b/tests/unit/DigestTreeTest.cpp
@@ -1,11 +1,12 @@
-// Who reads a version's digests and from whom the others get them, in fleets of
-// several sizes.
+// Tests who reads a version's digests and from whom the others get them, in
+// fleets of several sizes.
 //
-// Hundreds of VMs heard of a version in the same 5 ms, asked peers that had not
-// heard of it yet, were told that these had no digests, and dialled the origin
-// together. It took 48 of them at a time; those that were to read chunks waited
-// behind those that asked for digests, and half of the fleet began its transfer
-// 3.2 s after the naming.
+// Guards against a rush on the origin: hundreds of VMs heard of a version
+// within 5 ms, asked peers that had not heard of it yet, were told that these
+// had no digests, and all connected to the origin. It accepted 48 connections
+// at a time; VMs that were to read chunks waited behind those that asked for
+// digests, and half of the fleet began its transfer 3.2 s after the version was
+// announced.
 
 #include "hawthornroad/weights/DigestTree.h"
 
@@ -19,7 +20,7 @@
 
 namespace {
 constexpr TimePoint Start{Seconds(1000)};
-// A frame's way, and a read of the digests from a narrow origin.
+// Delay of a frame, and duration of a read of the digests from a narrow origin.
 constexpr Duration Hop = Milliseconds(10);
 constexpr Duration ReadTime = Milliseconds(30);
 constexpr Duration TickPeriod = Milliseconds(30);
@@ -27,16 +28,16 @@
 struct FleetSetup {
   std::size_t Vms_ = 9;
   std::size_t Zones_ = 3;
-  // VMs that take no part, though all list them.
+  // VMs that do not respond, although all VMs list them.
   std::set<std::size_t> Dead_ = {};
-  // The origin answers from then on.
-  Duration OriginBack_ = Duration::zero();
-  // VMs of these zones and of the others do not reach each other.
+  // The origin answers from this time on.
+  Duration OriginRestored_ = Duration::zero();
+  // VMs of these zones and VMs of other zones cannot reach each other.
   std::set<std::size_t> CutZones_ = {};
   bool HasOriginZone_ = true;
 };
 
-// The trees of all VMs, exchanging questions and answers in model time.
+// The trees of all VMs, exchanging requests and answers in model time.
 class DigestFleet {
 public:
   explicit DigestFleet(FleetSetup S) : Setup_(std::move(S)) {
@@ -72,7 +73,7 @@
     }
   }
 
-  // Of the living, the last one's time; max when one never had them.
+  // Time until the last live VM had the digests; max when one never got them.
   Duration lastAfter() const {
     TimePoint Last = Start;
     for (std::size_t I = 0; I < Setup_.Vms_; ++I)
@@ -81,8 +82,8 @@
     return Last - Start;
   }
   std::size_t reads() const { return Reads_; }
-  std::size_t mostReadsAtOnce() const { return MostReads_; }
-  std::size_t mostSent() const {
+  std::size_t maxConcurrentReads() const { return MaxReads_; }
+  std::size_t maxSent() const {
     std::size_t Most = 0;
     for (const auto &[Vm, Count] : Sent_)
       Most = std::max(Most, Count);
@@ -127,9 +128,9 @@
   void read(std::size_t I) {
     Reading_[I] = true;
     ++Reads_;
-    MostReads_ = std::max(MostReads_, ++ReadsNow_);
-    // A dial that nothing answers is given up after 200 ms.
-    bool Answers = Now_ - Start >= Setup_.OriginBack_ && !isCut(I);
+    MaxReads_ = std::max(MaxReads_, ++ReadsNow_);
+    // A connection attempt without an answer times out after 200 ms.
+    bool Answers = Now_ - Start >= Setup_.OriginRestored_ && !isCut(I);
     after(Answers ? ReadTime : Milliseconds(200), [this, I, Answers] {
       --ReadsNow_;
       Reading_[I] = false;
@@ -175,15 +176,16 @@
   TimePoint Now_ = Start;
   std::size_t Reads_ = 0;
   std::size_t ReadsNow_ = 0;
-  std::size_t MostReads_ = 0;
+  std::size_t MaxReads_ = 0;
 };
 
 constexpr std::size_t Sizes[] = {1, 2, 9, 58, 265, 820};
-// Copies that one VM sends: its children, and the first VMs of other zones.
-constexpr std::size_t MostCopies = 8 + 4;
+// Copies that one VM sends: to its children, and to the first VMs of other
+// zones.
+constexpr std::size_t MaxCopies = 8 + 4;
 } // namespace
 
-TEST_CASE("digest tree, in a fleet that is well, reads the origin once and "
+TEST_CASE("digest tree, in a healthy fleet, reads the origin once and "
           "reaches all within a few hops",
           "[weights]") {
   for (std::size_t Vms : Sizes) {
@@ -193,12 +195,12 @@
     F.run(Seconds(2));
     CHECK(F.reads() == 1);
     CHECK(F.lastAfter() <= Milliseconds(150));
-    CHECK(F.mostSent() <= MostCopies);
+    CHECK(F.maxSent() <= MaxCopies);
   }
 }
 
-TEST_CASE("digest tree, when no VM lives in the origin's zone, has one reader "
-          "all the same",
+TEST_CASE("digest tree, when no VM is in the origin's zone, still has one "
+          "reader",
           "[weights]") {
   DigestFleet F({.Vms_ = 58, .Zones_ = 3, .HasOriginZone_ = false});
   REQUIRE(F.readers() == 1);
@@ -207,9 +209,9 @@
   CHECK(F.lastAfter() <= Milliseconds(150));
 }
 
-// The VM that was to read is dead but still listed: its children wait for it.
-TEST_CASE("digest tree, when the reader is dead, costs the fleet two timeouts "
-          "at most",
+// The designated reader is dead but still listed: its children wait for it.
+TEST_CASE("digest tree, when the reader is dead, delays the fleet by two "
+          "timeouts at most",
           "[weights]") {
   for (std::size_t Vms : {9, 58, 265, 820}) {
     INFO(Vms << " VMs");
@@ -222,7 +224,7 @@
   }
 }
 
-// A third of all VMs died with their power; nobody's list shows it yet.
+// A third of all VMs lost power; no VM's list shows it yet.
 TEST_CASE("digest tree, when a third of the VMs are dead, reaches the others "
           "and reads the origin few times",
           "[weights]") {
@@ -234,27 +236,28 @@
     DigestFleet F(S);
     F.run(Seconds(6));
     CHECK(F.lastAfter() <= Milliseconds(2500));
-    CHECK(F.mostReadsAtOnce() <= 10);
+    CHECK(F.maxConcurrentReads() <= 10);
   }
 }
 
-// The origin goes away before anyone has the digests and is back after 8 s.
-// All that probe it meanwhile must leave it connections for its readers.
-TEST_CASE("digest tree, while the origin is away, probes it with few VMs and "
-          "reaches all soon after its return",
+// The origin becomes unreachable before any VM has the digests and recovers
+// after 8 s. VMs that probe it meanwhile must leave it connections for its
+// readers.
+TEST_CASE("digest tree, while the origin is down, probes it with few VMs and "
+          "reaches all soon after it recovers",
           "[weights]") {
   for (std::size_t Vms : {9, 58, 265, 820}) {
     INFO(Vms << " VMs");
     DigestFleet F({.Vms_ = static_cast<std::size_t>(Vms),
                    .Zones_ = 5,
-                   .OriginBack_ = Seconds(8)});
+                   .OriginRestored_ = Seconds(8)});
     F.run(Seconds(14));
-    CHECK(F.mostReadsAtOnce() <= 28);
+    CHECK(F.maxConcurrentReads() <= 28);
     CHECK(F.lastAfter() <= Seconds(11));
   }
 }
 
-// One zone is cut off, from the other VMs and from the origin.
+// One zone is cut off from the other VMs and from the origin.
 TEST_CASE("digest tree, with one zone cut off, reaches all others and lets few "
           "of the zone try the origin",
           "[weights]") {
--- a/tests/unit/ManifestTest.cpp
+++ b/tests/unit/ManifestTest.cpp
@@ -48,9 +48,9 @@
 
 TEST_CASE("manifest, when malformed, is refused naming step and peer",
           "[manifest]") {
-  // What a user sees: a version whose manifest was written wrongly never
-  // begins, and the error says where it came from and what is wrong with it.
-  auto [Bytes, Says] = GENERATE(table<std::string, std::string>({
+  // A version whose manifest was written incorrectly never starts; the error
+  // must name where the manifest came from and what is wrong with it.
+  auto [Bytes, ExpectedText] = GENERATE(table<std::string, std::string>({
       {"", "manifest"},
       {"not json", "manifest"},
       {Text{.Format_ = "2"}.str(), "format"},
@@ -76,15 +76,15 @@
   } catch (const Error &E) {
     REQUIRE(E.step() == Step::Manifest);
     REQUIRE_THAT(std::string(E.what()), Catch::Contains(Peer));
-    REQUIRE_THAT(std::string(E.what()), Catch::Contains(Says));
+    REQUIRE_THAT(std::string(E.what()), Catch::Contains(ExpectedText));
   }
 }
 
 TEST_CASE("manifest, when it is not the declared version, is refused",
           "[manifest]") {
-  // An operator overwrites the manifest at the origin while VMs are fetching
-  // it: a VM that took the new bytes would stage chunks of another version
-  // under the declared name.
+  // An operator overwrites the manifest at the origin while VMs fetch it: a VM
+  // that accepted the new bytes would stage chunks of another version under the
+  // declared name.
   VersionDigest Declared(sha256(Text{}.str()));
   std::string Replaced = Text{.Blob_ = "/m/other.bin"}.str();
   REQUIRE_THROWS_WITH(Manifest::parse(Replaced, Declared, Peer),
--- a/tests/unit/NarrowOriginTest.cpp
+++ b/tests/unit/NarrowOriginTest.cpp
@@ -1,11 +1,12 @@
-// A version on its way to a whole fleet, in model time: the decision modules of
-// every VM, an origin that sends one version in 4.3 s, VMs that take one in
-// 2.6 s.
+// Simulates the distribution of one version to a fleet in model time, with the
+// decision modules of every VM. The origin takes 4.3 s to send one version, a
+// VM 2.6 s to receive one.
 //
-// In fleets of 58 VMs and more a third of the version came from the origin
-// twice: readers that were through read chunks which their owners were reading,
-// and some of eight readers owned twice as much as others. Everyone waited for
-// it, on the link that binds.
+// Guards against duplicate reads and uneven slices: in fleets of 58 VMs and
+// more a third of the version was read twice from the origin, because readers
+// that had finished read chunks which their owners were reading, and some of
+// eight readers owned twice as many slices as others. All VMs waited for this
+// on the bottleneck link.
 
 #include "bench/WeightsModel.h"
 #include "hawthornroad/weights/Owners.h"
@@ -39,26 +40,25 @@
 }
 } // namespace
 
-TEST_CASE(
-    "narrow origin, in a fleet that is well, sends a version once and all "
-    "have it soon after its last byte",
-    "[weights]") {
+TEST_CASE("narrow origin, in a healthy fleet, sends a version once and all "
+          "have it soon after its last byte",
+          "[weights]") {
   struct Row {
     std::size_t Vms_, Zones_;
-    double MostOverBound_;
+    double MaxOverBound_;
   };
   for (const Row &R : {Row{9, 3, 1.25}, Row{58, 3, 1.4}, Row{265, 5, 1.55}}) {
     INFO(R.Vms_ << " VMs");
     ModelResult M = runSwarm(fleet(R.Vms_, R.Zones_));
     CHECK(M.Staged_ == M.Survivors_);
     CHECK(M.OriginCopies_ <= 1.05);
-    CHECK(M.AllSeconds_ <= R.MostOverBound_ * M.BoundSeconds_);
+    CHECK(M.AllSeconds_ <= R.MaxOverBound_ * M.BoundSeconds_);
   }
 }
 
 TEST_CASE(
-    "narrow origin, in a fleet of which a twentieth dies meanwhile, sends "
-    "a quarter more at most",
+    "narrow origin, when a twentieth of the fleet dies meanwhile, sends at "
+    "most a quarter more",
     "[weights]") {
   for (std::size_t Vms : {58, 265}) {
     INFO(Vms << " VMs");
@@ -72,7 +72,7 @@
 }
 
 TEST_CASE(
-    "owners, near the origin, own as many slices each and are the same in "
+    "owners, near the origin, own equally many slices and are the same in "
     "every VM's view",
     "[weights]") {
   for (std::size_t Vms : {9, 58, 265}) {
@@ -99,13 +99,14 @@
   }
 }
 
-// A link between two regions is shared by all that cross it. With every VM of a
-// zone fetching chunks over it, whoever read the configuration there had a
-// thirtieth of it.
-TEST_CASE("owners, of a zone far from the origin, let few VMs cross",
+// All VMs that fetch across zones share the link between two regions. When
+// every VM of a zone fetched chunks over it, configuration reads had a
+// thirtieth of the link.
+TEST_CASE("owners, of a zone far from the origin, limit the VMs that fetch "
+          "across zones",
           "[weights]") {
   std::vector<SwarmPeer> All = peers(265, 5);
-  std::size_t Crossers = 0;
+  std::size_t Fetchers = 0;
   for (const SwarmPeer &Self : All) {
     if (Self.Zone_ != AvailabilityZone("z1"))
       continue;
@@ -114,7 +115,7 @@
     bool Crosses = false;
     for (SliceIndex S = 0; S < MaxSlices; ++S)
       Crosses |= O.zoneRank(S) == 0;
-    Crossers += Crosses ? 1 : 0;
+    Fetchers += Crosses ? 1 : 0;
   }
-  CHECK(Crossers == Owners::MaxCrossers);
+  CHECK(Fetchers == Owners::MaxCrossZoneFetchers);
 }
--- a/tests/unit/OriginBudgetTest.cpp
+++ b/tests/unit/OriginBudgetTest.cpp
@@ -17,7 +17,7 @@
   return OriginBudget(Chunks, Size, ChunkSize, Copies);
 }
 
-// The table: one holder a key, whoever asks first.
+// Stand-in for the table: each key belongs to whoever claims it first.
 struct Ledger {
   ClaimResult claim(const Grant &G, int Who) {
     return Holder_.try_emplace(G, Who).first->second == Who ? ClaimResult::Won
@@ -35,8 +35,8 @@
 TEST_CASE("origin budget, when many VMs read all they can, is never exceeded",
           "[budget]") {
   // Views of the fleet differ, so every VM takes itself for the owner of every
-  // chunk, and every read fails and is tried again. Each VM alone would read
-  // copies without end; the origin's link would carry nothing else.
+  // chunk, and every read fails and is retried. Without the shared budget each
+  // VM would read copies without limit and saturate the origin's link.
   auto Copies = GENERATE(1.0, 1.1, 2.5, 3.3);
   constexpr int Vms = 12;
   Ledger Table;
@@ -58,20 +58,21 @@
     auto G = B.nextClaim(Index, true, R);
     if (!G)
       continue;
-    // One claim in five lands although its answer is lost; answers come twice.
+    // One claim in five is stored although its answer is lost; answers are
+    // delivered twice.
     ClaimResult Result = Table.claim(*G, Who);
     B.onClaim(*G, R.below(5) == 0 ? ClaimResult::Unknown : Result);
     B.onClaim(*G, Result);
   }
   REQUIRE(static_cast<double>(Bytes) <= Copies * Size);
-  // And it is there to be used.
+  // The budget is also used up, not just kept.
   REQUIRE(static_cast<double>(Bytes) >= (Copies - 0.1) * Size);
 }
 
 TEST_CASE("origin budget, when an agent is restarted, charges nothing twice",
           "[budget]") {
-  // The agent is killed after some reads; its successor finds the note. Had it
-  // forgotten them, each restart would read the slice again.
+  // The agent is killed after some reads; its successor finds the note. Without
+  // it, each restart would read the slice again.
   OriginBudget First = budget(2);
   Random R(1);
   auto G = First.nextClaim(5, false, R);
@@ -119,7 +120,7 @@
   while (auto G = B.nextClaim(5, true, R))
     B.onClaim(*G, ClaimResult::Lost);
   REQUIRE(B.isSpent());
-  // The operators declare more.
+  // The operators declare a larger budget.
   B.setCopies(2);
   REQUIRE_FALSE(B.isSpent());
   REQUIRE(B.nextClaim(5, true, R));
--- a/tests/unit/SwarmTest.cpp
+++ b/tests/unit/SwarmTest.cpp
@@ -1,6 +1,6 @@
-// Some VMs' decision modules in model time: messages and the ledger take no
-// time, reads of the origin take ReadTime_. What a zone that is cut off from
-// the origin or the table asks of them fails.
+// Simulates the decision modules of four VMs in model time: messages and the
+// ledger take no time, reads of the origin take ReadTime_. For a zone that is
+// cut off from the origin or the table, reads and claims fail.
 
 #include "hawthornroad/weights/Swarm.h"
 
@@ -15,7 +15,7 @@
 namespace {
 constexpr ChunkIndex Chunks = 10;
 constexpr auto TickPeriod = Milliseconds(50);
-const AvailabilityZone Cut("zone-b");
+const AvailabilityZone CutOffZone("zone-b");
 
 Manifest manifest(const std::string &Blob) {
   std::string Digest = sha256(Blob);
@@ -30,7 +30,7 @@
 
 struct SwarmFixture {
   Duration ReadTime_ = Milliseconds(20);
-  // What VMs of the zone Cut cannot reach.
+  // What VMs of CutOffZone cannot reach.
   bool CutFromOrigin_ = false;
   bool CutFromTable_ = false;
 
@@ -53,7 +53,8 @@
     }
   }
 
-  // Runs until all hold every chunk, at most Limit; false when it takes longer.
+  // Runs until all VMs hold every chunk, for at most Limit; returns false when
+  // it takes longer.
   bool allDoneWithin(Duration Limit) {
     for (TimePoint End = Now_ + Limit; Now_ < End; Now_ += TickPeriod) {
       for (auto Due = Reads_.begin(); Due != Reads_.end() && Due->first <= Now_;
@@ -71,10 +72,10 @@
   }
 
   bool reachesOrigin(const SwarmPeer &P) const {
-    return !CutFromOrigin_ || P.Zone_ != Cut;
+    return !CutFromOrigin_ || P.Zone_ != CutOffZone;
   }
   bool reachesTable(const SwarmPeer &P) const {
-    return !CutFromTable_ || P.Zone_ != Cut;
+    return !CutFromTable_ || P.Zone_ != CutOffZone;
   }
   void act(const SwarmPeer &P, const std::vector<SwarmAction> &Actions) {
     for (const SwarmAction &A : Actions)
@@ -85,14 +86,14 @@
     if (Swarms_.at(A.Fetch_.From_).held().has(A.Fetch_.Chunk_))
       S.onChunk(A.Fetch_.Chunk_, A.Fetch_.From_, Now_);
     else
-      S.onRefused(A.Fetch_.Chunk_, A.Fetch_.From_, FetchEnd::Missing, Now_);
+      S.onRefused(A.Fetch_.Chunk_, A.Fetch_.From_, FetchResult::Missing, Now_);
   }
   void act(const SwarmPeer &P, const ReadOrigin &A) {
     bool Good = reachesOrigin(P);
     Sent_ += Good ? 1 : 0;
     Reads_.emplace(Now_ + ReadTime_, [this, P, Good, C = A.Chunk_] {
-      Swarms_.at(P.Vm_).onOrigin(C, Good ? OriginEnd::Good : OriginEnd::Nothing,
-                                 Now_);
+      Swarms_.at(P.Vm_).onOrigin(
+          C, Good ? OriginReadResult::Good : OriginReadResult::Nothing, Now_);
     });
   }
   void act(const SwarmPeer &P, const ClaimGrant &A) {
@@ -110,11 +111,11 @@
     Swarms_.at(A.To_).onAsk(P.Vm_, Now_);
   }
   void act(const SwarmPeer &P, const TellHave &A) {
-    Swarm &To = Swarms_.at(A.News_.To_);
-    if (A.News_.Whole_)
+    Swarm &To = Swarms_.at(A.Update_.To_);
+    if (A.Update_.IsFullBitmap_)
       To.onHave(P.Vm_, Swarms_.at(P.Vm_).held(), 0, Now_);
     else
-      To.onAdded(P.Vm_, A.News_.Added_, 0, Now_);
+      To.onAdded(P.Vm_, A.Update_.Added_, 0, Now_);
   }
 
   TimePoint Now_{};
@@ -122,7 +123,7 @@
   std::map<Vm, Swarm> Swarms_ = {};
   std::multimap<TimePoint, std::function<void()>> Reads_ = {};
   std::map<Grant, SwarmPeer> Holders_ = {};
-  // Chunks that the origin sent.
+  // Chunks sent by the origin.
   std::size_t Sent_ = 0;
 };
 } // namespace
@@ -131,10 +132,11 @@
                  "swarm, when a zone with owners is cut off from origin and "
                  "table, is staged by the other zone with one copy",
                  "[weights]") {
-  // About half of the slices, one chunk each, have their first or their first
+  // Of the slices, one chunk each, about half have their first or their first
   // two VMs in the zone that is cut off. The others are read at once; after
-  // that nothing new is seen of any slice, and no slice can fall behind. All
-  // ranks in turn waited for the whole fleet's silence: over 40 s.
+  // that no new chunk of any slice is seen, and no slice can fall behind. When
+  // all ranks in turn waited for silence across the whole fleet, this took over
+  // 40 s.
   CutFromOrigin_ = CutFromTable_ = true;
   for (int Round = 0; Round < 20; ++Round) {
     INFO("round " << Round);
@@ -148,8 +150,9 @@
                  "swarm, when the origin takes long for each chunk, reads one "
                  "copy although spare ones are granted",
                  "[weights]") {
-  // With a slow origin every slice is silent for longer than its patience;
-  // a VM that took this for a dead owner would read what is on its way.
+  // With a slow origin every slice is silent for longer than its timeout; a VM
+  // that took this for a dead owner would read chunks that are already being
+  // read.
   ReadTime_ = Seconds(9);
   for (int Round = 0; Round < 20; ++Round) {
     INFO("round " << Round);
@@ -164,7 +167,7 @@
                  "no slice of another VM into that zone",
                  "[weights]") {
   // A VM that reaches the table but not the origin could win the grant of a
-  // slice that is not its own, and nobody could read that slice any more
+  // slice that it does not own, and nobody could read that slice any more
   // without a spare grant.
   CutFromOrigin_ = true;
   ReadTime_ = Seconds(9);
@@ -173,7 +176,7 @@
     start("blob " + std::to_string(Round), 3.3);
     CHECK(allDoneWithin(Seconds(300)));
     for (const auto &[G, Holder] : Holders_) {
-      if (G.Kind_ != Grant::Kind::Slice || Holder.Zone_ != Cut)
+      if (G.Kind_ != Grant::Kind::Slice || Holder.Zone_ != CutOffZone)
         continue;
       Owners O(manifest("blob " + std::to_string(Round)).version(), Chunks,
                Holder);
--- a/tests/unit/SwarmWithoutLedgerTest.cpp
+++ b/tests/unit/SwarmWithoutLedgerTest.cpp
@@ -1,4 +1,4 @@
-// The swarm where nobody records who may read the origin.
+// Tests of Swarm without a ledger that records who may read the origin.
 
 #include "hawthornroad/weights/Swarm.h"
 
@@ -16,9 +16,9 @@
   return {VersionDigest("m/2"), Chunks, Chunks * 100, 100};
 }
 
-Swarm::Setup setup(const std::string &Self, Duration StealAfter) {
+Swarm::Setup setup(const std::string &Self, Duration HelpAfter) {
   Swarm::Setup S;
-  S.StealAfter_ = StealAfter;
+  S.HelpAfter_ = HelpAfter;
   S.Self_ = {Vm(Self), Zone};
   S.OriginCopies_ = 2;
   S.WatchOwners_ = true;
@@ -27,17 +27,17 @@
   return S;
 }
 
-// One VM that gets every grant it asks for and an origin that answers at once.
-struct LoneReader {
+// One VM that gets every grant it claims, and an origin that answers at once.
+struct SingleReader {
   Swarm Swarm_;
   TimePoint Now_ = Start;
   std::vector<ChunkIndex> Reads_;
-  // Ends of reads to come, by order; Good when used up.
-  std::vector<OriginEnd> Ends_;
+  // Results of the coming reads, in order; Good when used up.
+  std::vector<OriginReadResult> Ends_;
 
-  explicit LoneReader(const std::vector<std::string> &Others,
-                      Duration StealAfter = Duration::zero())
-      : Swarm_(setup("self", StealAfter), shape(), ChunkSet(Chunks), Start) {
+  explicit SingleReader(const std::vector<std::string> &Others,
+                        Duration HelpAfter = Duration::zero())
+      : Swarm_(setup("self", HelpAfter), shape(), ChunkSet(Chunks), Start) {
     std::vector<SwarmPeer> Peers;
     for (const std::string &O : Others)
       Peers.push_back({Vm(O), Zone});
@@ -50,7 +50,7 @@
       else if (std::holds_alternative<CheckOrigin>(A))
         Swarm_.onOriginChecked(true, Now_);
       else if (const auto *Read = std::get_if<ReadOrigin>(&A)) {
-        OriginEnd End = OriginEnd::Good;
+        OriginReadResult End = OriginReadResult::Good;
         if (Reads_.size() < Ends_.size())
           End = Ends_[Reads_.size()];
         Reads_.push_back(Read->Chunk_);
@@ -65,25 +65,27 @@
 };
 } // namespace
 
-// The origin spoils one answer. The slice's own grant paid for one read of each
-// chunk; a second read must still be had, or the version never becomes whole.
-TEST_CASE("swarm without a ledger, after a spoilt read of the origin, reads "
+// The origin sends one invalid answer. The slice's own grant covered one read
+// of each chunk; a second read must still be possible, or the version never
+// becomes complete.
+TEST_CASE("swarm without a ledger, after an invalid read of the origin, reads "
           "that chunk again",
           "[swarm]") {
-  LoneReader R({});
-  R.Ends_ = {OriginEnd::Good, OriginEnd::Wasted, OriginEnd::Wasted};
+  SingleReader R({});
+  R.Ends_ = {OriginReadResult::Good, OriginReadResult::Wasted,
+             OriginReadResult::Wasted};
   R.runUntil(Seconds(12));
   REQUIRE(R.Swarm_.isDone());
   REQUIRE(R.Reads_.size() == Chunks + 2);
 }
 
-// The owners of most slices are frozen and say nothing. Their slices must be
-// taken over, though nobody can hand on their grants.
+// The owners of most slices are frozen and send nothing. Their slices must be
+// taken over, although their grants cannot be passed on.
 TEST_CASE(
     "swarm without a ledger, when the owners of slices stay silent, reads "
-    "in their place after a patience for each rank",
+    "in their place after a timeout for each rank",
     "[swarm]") {
-  LoneReader R({"a", "b"});
+  SingleReader R({"a", "b"});
   R.runUntil(Milliseconds(800));
   std::size_t Own = R.Reads_.size();
   REQUIRE(Own < Chunks);
@@ -96,10 +98,10 @@
 TEST_CASE("swarm without a ledger, while an owner shows new chunks, leaves its "
           "slices to it",
           "[swarm]") {
-  LoneReader R({"a"});
+  SingleReader R({"a"});
   R.Swarm_.onAsk(Vm("a"), Start);
   ChunkSet Have(Chunks);
-  // "a" shows one more of its chunks every half second.
+  // "a" announces one more of its chunks every half second.
   std::vector<ChunkIndex> Others;
   // Its own slices are read by then.
   R.runUntil(Milliseconds(700));
@@ -117,14 +119,15 @@
   REQUIRE(R.Reads_.size() == Own);
 }
 
-// The link of a VM that owns a part of the version has become narrow: it reads
-// a chunk every half second, and shows it, so it is never silent. The whole
-// fleet waited for it. Whoever has read its own chunks reads the rest.
+// The link of a VM that owns a part of the version has lost bandwidth: it reads
+// a chunk every half second and announces it, so it is never silent, and the
+// whole fleet waits for it. A VM that has read its own chunks must read the
+// rest.
 TEST_CASE(
     "swarm without a ledger, when an owner is slow, reads for it once its "
     "own chunks are read",
     "[swarm]") {
-  LoneReader R({"a"}, Milliseconds(150));
+  SingleReader R({"a"}, Milliseconds(150));
   R.Swarm_.onAsk(Vm("a"), Start);
   R.runUntil(Milliseconds(120));
   std::size_t Own = R.Reads_.size();
@@ -135,13 +138,13 @@
   REQUIRE(R.Reads_.size() == Chunks);
 }
 
-// A VM that never reached the origin is no help: it would only hold one of its
-// few connections.
+// A VM that never reached the origin cannot help: it would only hold one of the
+// origin's few connections.
 TEST_CASE("swarm without a ledger, when an owner is slow, does not read for it "
           "without an answer of the origin",
           "[swarm]") {
-  LoneReader R({"a"}, Milliseconds(150));
-  R.Ends_.assign(200, OriginEnd::Nothing);
+  SingleReader R({"a"}, Milliseconds(150));
+  R.Ends_.assign(200, OriginReadResult::Nothing);
   R.runUntil(Milliseconds(700));
   for (ChunkIndex I : R.Reads_)
     REQUIRE(I == R.Reads_.front());
@@ -151,7 +154,7 @@
     "swarm without a ledger, while an owner keeps pace, leaves its slices "
     "to it",
     "[swarm]") {
-  LoneReader R({"a"}, Milliseconds(150));
+  SingleReader R({"a"}, Milliseconds(150));
   R.Swarm_.onAsk(Vm("a"), Start);
   R.runUntil(Milliseconds(30));
   std::size_t Own = R.Reads_.size();
@@ -160,7 +163,7 @@
   for (ChunkIndex I = 0; I < Chunks; ++I)
     if (!R.Swarm_.held().has(I))
       Others.push_back(I);
-  // Four in thirty milliseconds, and they come here at once.
+  // The owner announces four chunks every 30 ms, and they arrive here at once.
   for (std::size_t N = 0; N < Others.size(); ++N) {
     Have.add(Others[N]);
     R.Swarm_.onHave(Vm("a"), Have, 0, R.Now_);
@@ -172,12 +175,12 @@
   REQUIRE(R.Reads_.size() == Own);
 }
 
-// The slow VM has read a chunk and cannot get it out: its link is full. Nobody
-// else has it, so all wait for that one.
-TEST_CASE("swarm without a ledger, when a chunk does not come from the only VM "
-          "that has it, reads it",
+// The slow VM has read a chunk but cannot send it because its link is full. No
+// other VM has the chunk, so all VMs wait for it.
+TEST_CASE("swarm without a ledger, when the only VM that has a chunk does not "
+          "deliver it, reads it",
           "[swarm]") {
-  LoneReader R({"a"}, Milliseconds(150));
+  SingleReader R({"a"}, Milliseconds(150));
   R.Swarm_.onAsk(Vm("a"), Start);
   R.runUntil(Milliseconds(90));
   ChunkSet Have(Chunks);
--- a/tests/unit/UploadSchedulerTest.cpp
+++ b/tests/unit/UploadSchedulerTest.cpp
@@ -15,7 +15,7 @@
 
 TEST_CASE("uploads, when one peer asks for much, still take turns",
           "[uploads]") {
-  // A peer on a fast link fills its queue; without turns the others would
+  // A peer on a fast link fills its queue; without round-robin the others would
   // wait until it is served.
   UploadScheduler S({.Active_ = 100}, 0);
   for (ChunkIndex I = 0; I < 4; ++I)
@@ -48,9 +48,9 @@
 
 TEST_CASE("uploads, when a peer never acknowledges, free its place in time",
           "[uploads]") {
-  // The peer died with the chunk in its socket: without a limit each such
-  // death would cost a place for good, until nothing is served any more.
-  UploadScheduler S({.Active_ = 1, .GiveUp_ = Seconds(30)}, 0);
+  // The peer died with the chunk in its socket: without a time limit each such
+  // death would occupy a slot permanently, until no uploads are served.
+  UploadScheduler S({.Active_ = 1, .AckTimeout_ = Seconds(30)}, 0);
   TimePoint Now{};
   S.request(upload("dead", 0));
   S.request(upload("live", 0));
