--- a/hawthornroad/agent/StoreAgent.cpp
+++ b/hawthornroad/agent/StoreAgent.cpp
@@ -30,8 +30,8 @@
 
 PeerNet::Limits peerLimits() {
   PeerNet::Limits L;
-  L.PingAfter_ = PeerPing;
-  L.DeadAfter_ = PeerDead;
+  L.PingAfter_ = PeerPingAfter;
+  L.DeadAfter_ = PeerDeadAfter;
   return L;
 }
 } // namespace
--- a/hawthornroad/entry/EngineNotices.cpp
+++ b/hawthornroad/entry/EngineNotices.cpp
@@ -10,8 +10,8 @@
 
 PeerNet::Limits limits() {
   PeerNet::Limits L;
-  L.PingAfter_ = PeerPing;
-  L.DeadAfter_ = PeerDead;
+  L.PingAfter_ = PeerPingAfter;
+  L.DeadAfter_ = PeerDeadAfter;
   return L;
 }
 } // namespace
--- a/hawthornroad/entry/TableSource.cpp
+++ b/hawthornroad/entry/TableSource.cpp
@@ -323,7 +323,7 @@
   Query_ = {Q.number, *Target, Now};
   FrameBuffer Frame = makeFrame(std::move(Q));
   bool IsSent = Reconnect_.erase(*Target) != 0
-                    ? Net_->sendFresh(*Target, Lane::Control, Frame)
+                    ? Net_->sendOnNewConnection(*Target, Lane::Control, Frame)
                     : Net_->send(*Target, Lane::Control, Frame);
   if (!IsSent)
     onSourceLost(*Target, "not sent");
--- a/hawthornroad/peers/AttemptCodec.cpp
+++ b/hawthornroad/peers/AttemptCodec.cpp
@@ -94,8 +94,8 @@
   return makeFrame(std::move(M));
 }
 
-std::optional<AttemptUpdate> toAttemptWord(const wire::FrameT &Frame,
-                                           Incarnation From) {
+std::optional<AttemptUpdate> toAttemptUpdate(const wire::FrameT &Frame,
+                                             Incarnation From) {
   const wire::BodyUnion &Body = Frame.body;
   if (const auto *M = Body.AsAttemptAccepted())
     return AttemptAccepted{source(*M, From)};
--- a/hawthornroad/peers/AttemptCodec.h
+++ b/hawthornroad/peers/AttemptCodec.h
@@ -1,4 +1,8 @@
-// Between the request path's types and the Attempt* messages of the wire.
+// Converts between the request path's message types and the Attempt* messages
+// of the wire protocol.
+//
+//   FrameBuffer Frame = toFrame(Begin);
+//   if (auto Update = toAttemptUpdate(Received, Sender)) ...
 
 #ifndef HAWTHORNROAD_PEERS_ATTEMPTCODEC_H
 #define HAWTHORNROAD_PEERS_ATTEMPTCODEC_H
@@ -15,9 +19,9 @@
 FrameBuffer toFrame(const QueryAttempt &A);
 FrameBuffer toFrame(const AckAttempt &A);
 
-// Nullopt when the frame is no word of an attempt.
-std::optional<AttemptUpdate> toAttemptWord(const wire::FrameT &Frame,
-                                           Incarnation From);
+// Nullopt when the frame carries no update about an attempt.
+std::optional<AttemptUpdate> toAttemptUpdate(const wire::FrameT &Frame,
+                                             Incarnation From);
 
 } // namespace hawthornroad
 
--- a/hawthornroad/peers/ControlCodec.cpp
+++ b/hawthornroad/peers/ControlCodec.cpp
@@ -30,7 +30,7 @@
   return Out;
 }
 
-bool isSane(const wire::MemberT &M) {
+bool isWithinLimits(const wire::MemberT &M) {
   return !M.process.empty() && M.process.size() <= MaxNameBytes &&
          M.role.size() <= MaxNameBytes && M.zone.size() <= MaxNameBytes &&
          M.address.size() <= MaxNameBytes && M.state <= wire::MemberState::Left;
@@ -41,7 +41,7 @@
   for (const auto &Each : Members) {
     if (Out.size() == MaxMembersInMessage)
       break;
-    if (!Each || !isSane(*Each))
+    if (!Each || !isWithinLimits(*Each))
       continue;
     Member M;
     M.Process_ = ProcessName(Each->process);
@@ -59,7 +59,7 @@
   return Out;
 }
 
-std::vector<std::uint32_t> marks(std::vector<std::uint32_t> Marks) {
+std::vector<std::uint32_t> limitMarks(std::vector<std::uint32_t> Marks) {
   if (Marks.size() > MaxMembersInMessage)
     Marks.resize(MaxMembersInMessage);
   return Marks;
@@ -147,16 +147,17 @@
   case wire::Body::Probe: {
     const wire::ProbeT &M = *Frame.body.AsProbe();
     return ProbeMessage{M.sequence, ProcessName(M.target), fromWire(M.members),
-                        M.revision, marks(M.in_force)};
+                        M.revision, limitMarks(M.in_force)};
   }
   case wire::Body::ProbeAck: {
     const wire::ProbeAckT &M = *Frame.body.AsProbeAck();
     return AckMessage{M.sequence, ProcessName(M.process), fromWire(M.members),
-                      M.revision, marks(M.in_force)};
+                      M.revision, limitMarks(M.in_force)};
   }
   case wire::Body::Gossip: {
     const wire::GossipT &M = *Frame.body.AsGossip();
-    return GossipMessage{fromWire(M.members), M.revision, marks(M.in_force)};
+    return GossipMessage{fromWire(M.members), M.revision,
+                         limitMarks(M.in_force)};
   }
   case wire::Body::ConfigPull:
     return PullMessage{Frame.body.AsConfigPull()->after};
--- a/hawthornroad/peers/ControlCodec.h
+++ b/hawthornroad/peers/ControlCodec.h
@@ -1,11 +1,11 @@
-// Control messages to and from frames of the wire.
+// Converts control messages to and from frames of the wire protocol.
 //
 //   FrameBuffer Frame = encodeControl(Message);
 //   std::optional<ControlMessage> M = decodeControl(Frame);
 //
-// Decoding bounds what a peer can make this process hold: at most
-// MaxMembersInMessage members of one message are taken, and names and addresses
-// longer than MaxNameBytes make a member be left out.
+// Decoding bounds the memory that a peer can make this process use: it takes at
+// most MaxMembersInMessage members of a message and skips members with a name
+// or address longer than MaxNameBytes.
 
 #ifndef HAWTHORNROAD_PEERS_CONTROLCODEC_H
 #define HAWTHORNROAD_PEERS_CONTROLCODEC_H
--- a/hawthornroad/peers/FrameFeed.cpp
+++ b/hawthornroad/peers/FrameFeed.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Duration RetryPost = Milliseconds(2);
+constexpr Duration PostRetryDelay = Milliseconds(2);
 
 bool isRequestFrame(wire::Body Type) {
   return Type == wire::Body::AttemptQuery ||
@@ -27,14 +27,14 @@
     BeginDropped E{idFromWire<AttemptId>(Begin->attempt.get()),
                    From.Connection_,
                    idFromWire<RequestId>(Begin->request.get())};
-    wait([this, E](TimePoint Now) { Callbacks_.OnBeginDropped_(E, Now); });
+    enqueue([this, E](TimePoint Now) { Callbacks_.OnBeginDropped_(E, Now); });
     return;
   }
   if (!isRequestFrame(Unpacked->body.type)) {
-    drop();
+    countDropped();
     return;
   }
-  wait([this, From, Unpacked](TimePoint Now) {
+  enqueue([this, From, Unpacked](TimePoint Now) {
     Callbacks_.OnFrame_(From, *Unpacked, Now);
   });
 }
@@ -57,33 +57,35 @@
 void FrameFeed::lost(const PeerContext &Peer) {
   auto Work = [this, Peer](TimePoint Now) { Callbacks_.OnLost_(Peer, Now); };
   if (!post(Work))
-    wait(Work);
+    enqueue(Work);
 }
 
 bool FrameFeed::post(DecisionLoop::Work Work) {
-  // What waits goes first, so that frames keep their order.
+  // Queued work is posted first, so that frames keep their order.
   return Waiting_.empty() && Loop_.post(std::move(Work));
 }
 
-void FrameFeed::wait(DecisionLoop::Work Work) {
+void FrameFeed::enqueue(DecisionLoop::Work Work) {
   if (Waiting_.size() >= MaxWaiting) {
-    drop();
+    countDropped();
     return;
   }
   Waiting_.push_back(std::move(Work));
   flush();
 }
 
-void FrameFeed::drop() { Metrics_.count("hawthornroad_frames_dropped_total"); }
+void FrameFeed::countDropped() {
+  Metrics_.count("hawthornroad_frames_dropped_total");
+}
 
 void FrameFeed::flush() {
   while (!Waiting_.empty() && Loop_.post(Waiting_.front()))
     Waiting_.pop_front();
-  if (Waiting_.empty() || FlushDue_)
+  if (Waiting_.empty() || FlushScheduled_)
     return;
-  FlushDue_ = true;
-  Io_.after(RetryPost, [this] {
-    FlushDue_ = false;
+  FlushScheduled_ = true;
+  Io_.after(PostRetryDelay, [this] {
+    FlushScheduled_ = false;
     flush();
   });
 }
--- a/hawthornroad/peers/FrameFeed.h
+++ b/hawthornroad/peers/FrameFeed.h
@@ -1,18 +1,19 @@
-// Hands frames from a PeerNet's thread to the DecisionLoop, in order.
+// Passes frames from a PeerNet's thread to the DecisionLoop, in order.
 //
 //   FrameFeed Feed(Io, Loop, {.OnFrame_ = ..., .OnBeginDropped_ = ...});
 //   PeerNet Net(Io, Self, {}, {.OnFrame_ = [&](auto &From, auto &Frame) {
 //     Feed.frame(From, Frame);
 //   }});
 //
-// The loop's ring may be full, or the bodies of the Begins in it may reach
-// MaxBodyBytes (the ring bounds their number only). A Begin cannot be refused
-// from here: its twin may already be in the ring, and "not run" would be a lie.
-// So a Begin without room shrinks to the wish to refuse it, which waits its
-// turn (MaxWaiting at most) and which the loop then decides. Other frames of
-// requests wait alike; what finds no room even there is dropped, and the entry
-// asks again after its silence limit. Control and chunk frames are dropped at
-// once: both are sent again by their senders.
+// A frame finds no room when the loop's ring is full or when the bodies of the
+// Begins in the ring would exceed MaxBodyBytes (the ring bounds only their
+// number). A Begin cannot be refused here: a duplicate of it may already be in
+// the ring, and answering "not run" would then be false. Such a Begin is
+// replaced by a small BeginDropped event, which is queued (at most MaxWaiting
+// entries) and on which the loop decides. Other request frames are queued as
+// they are. When the queue is full too, the frame is dropped, and the entry
+// queries the attempt again after its silence limit. Control and chunk frames
+// are dropped at once because their senders repeat them.
 
 #ifndef HAWTHORNROAD_PEERS_FRAMEFEED_H
 #define HAWTHORNROAD_PEERS_FRAMEFEED_H
@@ -31,7 +32,7 @@
 
 class FrameFeed {
 public:
-  // Run inside the loop.
+  // All run in the loop.
   struct Callbacks {
     std::function<void(const PeerContext &, wire::FrameT &, TimePoint)>
         OnFrame_;
@@ -43,7 +44,7 @@
 
   FrameFeed(IoThread &Io, DecisionLoop &Loop, Metrics &M, Callbacks C);
 
-  // Both on Io's thread.
+  // Call both on Io's thread.
   void frame(const PeerContext &From, const wire::Frame &Frame);
   void lost(const PeerContext &Peer);
 
@@ -51,17 +52,17 @@
   bool postFrame(const PeerContext &From, std::shared_ptr<wire::FrameT> Frame,
                  std::size_t BodyBytes);
   bool post(DecisionLoop::Work Work);
-  void wait(DecisionLoop::Work Work);
+  void enqueue(DecisionLoop::Work Work);
   void flush();
-  void drop();
+  void countDropped();
 
   IoThread &Io_;
   DecisionLoop &Loop_;
   Metrics &Metrics_;
   Callbacks Callbacks_;
   std::deque<DecisionLoop::Work> Waiting_;
-  bool FlushDue_ = false;
-  // Bodies of Begins that the loop has not come to yet.
+  bool FlushScheduled_ = false;
+  // Total size of the bodies of Begins that are still in the ring.
   std::atomic<std::size_t> BodyBytes_{0};
 };
 
--- a/hawthornroad/peers/PeerConnection.cpp
+++ b/hawthornroad/peers/PeerConnection.cpp
@@ -21,7 +21,7 @@
 using LengthField = std::array<unsigned char, LengthBytes>;
 } // namespace
 
-bool PeerConnection::hasEnded() {
+bool PeerConnection::isClosedByPeer() {
   if (!Connected_)
     return false;
   char Next = 0;
@@ -52,23 +52,23 @@
     close(Step::Send, "peer does not take its frames: backlog full");
     return;
   }
-  Out_.push_back(std::move(Frame));
-  Signal_.cancel();
+  WriteQueue_.push_back(std::move(Frame));
+  WriteSignal_.cancel();
 }
 
-void PeerConnection::close(Step Where, const std::string &Why) {
+void PeerConnection::close(Step Where, const std::string &Reason) {
   if (Closed_)
     return;
   Closed_ = true;
   boost::system::error_code Ignored;
   Socket_.close(Ignored);
-  Signal_.cancel();
-  Watch_.cancel();
+  WriteSignal_.cancel();
+  SilenceTimer_.cancel();
   auto Self = shared_from_this();
   Net_->forget(*this);
   if (Net_->Callbacks_.OnLost_ && !Net_->Closing_)
     Net_->Callbacks_.OnLost_(Context_,
-                             Error(Where, Context_.Address_.str(), Why));
+                             Error(Where, Context_.Address_.str(), Reason));
 }
 
 asio::awaitable<void> PeerConnection::run(std::optional<tcp::endpoint> Target) {
@@ -78,20 +78,20 @@
   Connected_ = true;
   boost::system::error_code Ignored;
   Socket_.set_option(tcp::no_delay(true), Ignored);
-  Out_.push_front(Net_->hello(Context_.Lane_));
-  Backlog_ += Out_.front()->size() + LengthBytes;
-  LastHeard_ = LastUsed_ = std::chrono::steady_clock::now();
+  WriteQueue_.push_front(Net_->hello(Context_.Lane_));
+  Backlog_ += WriteQueue_.front()->size() + LengthBytes;
+  LastReceived_ = LastUsed_ = std::chrono::steady_clock::now();
   asio::co_spawn(
       Net_->Io_.context(), [Self] { return Self->writeLoop(); },
       asio::detached);
-  watch();
+  scheduleSilenceCheck();
   co_await readLoop();
 }
 
 asio::awaitable<bool> PeerConnection::connect(tcp::endpoint Target) {
   boost::system::error_code Code;
-  Watch_.expires_after(Net_->Limits_.ConnectTimeout_);
-  Watch_.async_wait([Self = shared_from_this()](auto TimerCode) {
+  SilenceTimer_.expires_after(Net_->Limits_.ConnectTimeout_);
+  SilenceTimer_.async_wait([Self = shared_from_this()](auto TimerCode) {
     if (!TimerCode)
       Self->close(Step::Connect, "no connection within the timeout");
   });
@@ -99,7 +99,7 @@
       Target, asio::redirect_error(asio::use_awaitable, Code));
   if (Closed_)
     co_return false;
-  Watch_.cancel();
+  SilenceTimer_.cancel();
   if (Code)
     close(Step::Connect, Code.message());
   co_return !Code;
@@ -109,14 +109,14 @@
   auto Self = shared_from_this();
   while (!Closed_) {
     boost::system::error_code Code;
-    if (Out_.empty()) {
-      Signal_.expires_at(TimePoint::max());
-      co_await Signal_.async_wait(
+    if (WriteQueue_.empty()) {
+      WriteSignal_.expires_at(TimePoint::max());
+      co_await WriteSignal_.async_wait(
           asio::redirect_error(asio::use_awaitable, Code));
       continue;
     }
-    FrameBuffer Frame = std::move(Out_.front());
-    Out_.pop_front();
+    FrameBuffer Frame = std::move(WriteQueue_.front());
+    WriteQueue_.pop_front();
     LengthField Length;
     boost::endian::endian_store<std::uint32_t, LengthBytes,
                                 boost::endian::order::little>(
@@ -156,11 +156,11 @@
     Bytes.resize(Length);
     if (!co_await readBody(Bytes))
       co_return;
-    bool Fine = dispatch(Bytes);
+    bool IsValid = dispatch(Bytes);
     // After dispatch: an accepted connection learns its lane from the Hello.
     Net_->Received_[indexOf(Context_.Lane_)].fetch_add(
         Length + LengthBytes, std::memory_order_relaxed);
-    if (!Fine)
+    if (!IsValid)
       close(Step::Receive, "frame is malformed");
   }
 }
@@ -177,7 +177,7 @@
       close(Step::Receive, Code.message());
       co_return false;
     }
-    noteHeard();
+    recordReceived();
   }
   co_return true;
 }
@@ -187,10 +187,10 @@
   if (!wire::VerifyFrameBuffer(Verifier))
     return false;
   const wire::Frame &Frame = *wire::GetFrame(Bytes.data());
-  noteHeard();
+  recordReceived();
   switch (Frame.body_type()) {
   case wire::Body::Hello:
-    noteHello(*Frame.body_as_Hello());
+    applyHello(*Frame.body_as_Hello());
     return true;
   case wire::Body::Ping: {
     wire::PongT Pong;
@@ -202,18 +202,18 @@
   case wire::Body::NONE:
     return true;
   default:
-    LastUsed_ = LastHeard_;
+    LastUsed_ = LastReceived_;
     Net_->Callbacks_.OnFrame_(Context_, Frame);
     return true;
   }
 }
 
-void PeerConnection::noteHeard() {
-  LastHeard_ = std::chrono::steady_clock::now();
+void PeerConnection::recordReceived() {
+  LastReceived_ = std::chrono::steady_clock::now();
   UnansweredSince_.reset();
 }
 
-void PeerConnection::noteHello(const wire::Hello &Hello) {
+void PeerConnection::applyHello(const wire::Hello &Hello) {
   Context_.Process_ = ProcessName(Hello.process()->str());
   Context_.Incarnation_ = Hello.incarnation();
   if (IsDialled_)
@@ -224,14 +224,14 @@
     Context_.Lane_ = static_cast<Lane>(Hello.lane());
 }
 
-void PeerConnection::watch() {
-  Watch_.expires_after(Net_->Limits_.PingAfter_);
-  Watch_.async_wait([Self = shared_from_this()](auto Code) {
+void PeerConnection::scheduleSilenceCheck() {
+  SilenceTimer_.expires_after(Net_->Limits_.PingAfter_);
+  SilenceTimer_.async_wait([Self = shared_from_this()](auto Code) {
     if (Code || Self->Closed_)
       return;
     Self->checkSilence();
     if (!Self->Closed_)
-      Self->watch();
+      Self->scheduleSilenceCheck();
   });
 }
 
@@ -239,7 +239,7 @@
   TimePoint Now = std::chrono::steady_clock::now();
   if (Context_.Lane_ == Lane::Control)
     return checkControlSilence(Now);
-  if (Now - LastHeard_ >= Net_->Limits_.DeadAfter_) {
+  if (Now - LastReceived_ >= Net_->Limits_.DeadAfter_) {
     close(Step::Receive, "connection went silent");
     return;
   }
@@ -247,14 +247,14 @@
     close(Step::Receive, "connection is idle");
     return;
   }
-  if (Now - LastHeard_ >= Net_->Limits_.PingAfter_)
+  if (Now - LastReceived_ >= Net_->Limits_.PingAfter_)
     ping();
 }
 
 void PeerConnection::checkControlSilence(TimePoint Now) {
   const Limits &L = Net_->Limits_;
-  Duration Idle = Now - std::max(LastHeard_, LastSent_);
-  if (!IsDialled_ && Now - LastHeard_ >= 2 * L.ControlIdleAfter_)
+  Duration Idle = Now - std::max(LastReceived_, LastSent_);
+  if (!IsDialled_ && Now - LastReceived_ >= 2 * L.ControlIdleAfter_)
     return close(Step::Receive, "connection is idle");
   if (!IsDialled_)
     return;
--- a/hawthornroad/peers/PeerConnection.h
+++ b/hawthornroad/peers/PeerConnection.h
@@ -1,5 +1,6 @@
-// One framed TCP connection of a PeerNet, and what PeerNet keeps of them all.
-// Internal to PeerNet. Everything here lives on the net's IoThread.
+// One framed TCP connection of a PeerNet, and the state that a PeerNet shares
+// among its connections. Internal to PeerNet. Everything here runs on the net's
+// IoThread.
 
 #ifndef HAWTHORNROAD_PEERS_PEERCONNECTION_H
 #define HAWTHORNROAD_PEERS_PEERCONNECTION_H
@@ -25,7 +26,7 @@
 
 class PeerConnection;
 
-// What a PeerNet keeps: its listener, its connections and their counts.
+// A PeerNet's listener, connections and byte counters.
 struct PeerNet::State : std::enable_shared_from_this<PeerNet::State> {
   using Key = std::pair<PeerAddress, Lane>;
 
@@ -34,7 +35,7 @@
 
   boost::asio::awaitable<void> acceptLoop();
   std::shared_ptr<PeerConnection> dial(const Key &K);
-  void sendNow(const Key &K, const FrameBuffer &Frame, bool Fresh);
+  void sendNow(const Key &K, const FrameBuffer &Frame, bool OnNewConnection);
   void forget(PeerConnection &C);
   FrameBuffer hello(Lane L) const;
 
@@ -47,7 +48,7 @@
   bool Closing_ = false;
   ConnectionId NextId_ = 1;
   std::atomic<Revision> Revision_{0};
-  // By lane.
+  // Byte counts by lane.
   std::array<std::atomic<std::uint64_t>, LaneCount> Sent_{};
   std::array<std::atomic<std::uint64_t>, LaneCount> Received_{};
   std::map<Key, std::shared_ptr<PeerConnection>> Dialled_;
@@ -64,33 +65,34 @@
                  boost::asio::ip::tcp::socket Socket, PeerContext Context,
                  bool Dialled)
       : Net_(std::move(Net)), Socket_(std::move(Socket)),
-        Signal_(Net_->Io_.context(), TimePoint::max()),
-        Watch_(Net_->Io_.context()), Context_(std::move(Context)),
+        WriteSignal_(Net_->Io_.context(), TimePoint::max()),
+        SilenceTimer_(Net_->Io_.context()), Context_(std::move(Context)),
         IsDialled_(Dialled) {}
 
   PeerContext &context() { return Context_; }
   bool isDialled() const { return IsDialled_; }
   std::size_t backlog() const { return Backlog_; }
 
-  // Whether the peer's end is already here, unread. A process that dies
-  // closes its sockets at once, but the end waits its turn on a busy
-  // IoThread; a frame written before that turn goes to nobody, and its sender
-  // could only say that it may have been read. Peers close both directions
-  // together, so after the end nothing is read there any more. Cost: one
-  // system call.
-  bool hasEnded();
+  // Whether the socket already holds an unread end of stream or reset. A
+  // process that dies closes its sockets at once, but a busy IoThread reads
+  // the end of stream only later. A frame written in between is lost, and its
+  // sender could only report that it may have been read. Peers close both
+  // directions together, so a peer that has closed reads nothing more. Cost:
+  // one system call.
+  bool isClosedByPeer();
 
-  // Dials Target, or serves an accepted socket when there is none.
+  // Connects to Target, or serves the accepted socket when Target is empty.
   void start(std::optional<boost::asio::ip::tcp::endpoint> Target);
 
-  // A frame of the owner's, unlike this class's own pings and answers.
+  // Sends a frame of the owner; the class's own pings and pongs use enqueue().
   void send(FrameBuffer Frame);
 
-  // Closes the connection when the backlog passes its limit.
+  // Closes the connection when the backlog exceeds its limit.
   void enqueue(FrameBuffer Frame);
 
-  // Forgets the connection and tells the owner why; a second call does nothing.
-  void close(Step Where, const std::string &Why);
+  // Removes the connection and reports the reason to the owner; a second call
+  // does nothing.
+  void close(Step Where, const std::string &Reason);
 
 private:
   boost::asio::awaitable<void>
@@ -102,48 +104,48 @@
 
   boost::asio::awaitable<void> readLoop();
 
-  // Reads piecewise, so that a large frame on a slow link counts as word from
-  // the peer while it is still arriving.
+  // Reads in pieces, so that a large frame on a slow link counts as a sign of
+  // life from the peer while it is still arriving.
   boost::asio::awaitable<bool> readBody(std::vector<std::uint8_t> &Bytes);
 
   bool dispatch(const std::vector<std::uint8_t> &Bytes);
 
-  void noteHeard();
+  void recordReceived();
 
-  void noteHello(const wire::Hello &Hello);
+  void applyHello(const wire::Hello &Hello);
 
-  // Guards against a path that has gone silent for good: TCP would go on
-  // retransmitting for minutes. Word is asked for after PingAfter, and its
-  // absence for DeadAfter closes the connection.
-  void watch();
+  // Detects a path that no longer delivers anything, on which TCP would
+  // retransmit for minutes. Pings after PingAfter without received bytes, and
+  // closes the connection after DeadAfter.
+  void scheduleSilenceCheck();
 
   void checkSilence();
 
-  // Probes leave connections to many members behind; asking for word on each
-  // would cost a process more the more members there are. So only the
-  // dialling side asks, and only for word of what it sent: a push or report
-  // into a forgotten path is still noticed in DeadAfter. The accepting side
-  // waits longer than the dialling one, for a peer that vanished without a
-  // close.
+  // Probes leave connections open to many members; pinging each of them would
+  // cost a process more the more members there are. So only the dialling side
+  // pings, and only while a frame that it sent is unanswered: a push or report
+  // into a dead path is still detected within DeadAfter. The accepting side
+  // closes later than the dialling one, to handle a peer that vanished without
+  // closing the connection.
   void checkControlSilence(TimePoint Now);
 
   void ping();
 
   std::shared_ptr<NetState> Net_;
   boost::asio::ip::tcp::socket Socket_;
-  boost::asio::steady_timer Signal_;
-  boost::asio::steady_timer Watch_;
+  boost::asio::steady_timer WriteSignal_;
+  boost::asio::steady_timer SilenceTimer_;
   PeerContext Context_;
   bool IsDialled_;
   bool Connected_ = false;
   bool Closed_ = false;
-  std::deque<FrameBuffer> Out_;
+  std::deque<FrameBuffer> WriteQueue_;
   std::size_t Backlog_ = 0;
   std::uint64_t PingNonce_ = 0;
-  TimePoint LastHeard_;
+  TimePoint LastReceived_;
   TimePoint LastUsed_;
   TimePoint LastSent_{};
-  // When the first frame was sent that nothing was heard after.
+  // When the oldest frame was sent after which nothing has been received.
   std::optional<TimePoint> UnansweredSince_;
 };
 
--- a/hawthornroad/peers/PeerNet.cpp
+++ b/hawthornroad/peers/PeerNet.cpp
@@ -42,10 +42,10 @@
     if (Code)
       continue;
     Context.Address_ = PeerAddress(formatAddress(Remote));
-    auto Made = std::make_shared<PeerConnection>(Keep, std::move(Socket),
-                                                 Context, false);
-    ById_[Context.Connection_] = Made;
-    Made->start(std::nullopt);
+    auto Connection = std::make_shared<PeerConnection>(Keep, std::move(Socket),
+                                                       Context, false);
+    ById_[Context.Connection_] = Connection;
+    Connection->start(std::nullopt);
   }
 }
 
@@ -62,26 +62,26 @@
       Callbacks_.OnLost_(Context, E);
     return nullptr;
   }
-  auto Made = std::make_shared<PeerConnection>(
+  auto Connection = std::make_shared<PeerConnection>(
       shared_from_this(), tcp::socket(Io_.context()), Context, true);
-  Dialled_[K] = Made;
-  ById_[Context.Connection_] = Made;
-  Made->start(Target);
-  return Made;
+  Dialled_[K] = Connection;
+  ById_[Context.Connection_] = Connection;
+  Connection->start(Target);
+  return Connection;
 }
 
 void PeerNet::State::sendNow(const Key &K, const FrameBuffer &Frame,
-                             bool Fresh) {
+                             bool OnNewConnection) {
   if (Closing_)
     return;
   auto Found = Dialled_.find(K);
   std::shared_ptr<PeerConnection> Current =
       Found == Dialled_.end() ? nullptr : Found->second;
-  if (Fresh && Current) {
+  if (OnNewConnection && Current) {
     Current->close(Step::Send, "replaced by a fresh connection");
     Current = nullptr;
   }
-  if (Current && Current->hasEnded()) {
+  if (Current && Current->isClosedByPeer()) {
     Current->close(Step::Receive, "closed by the peer");
     Current = nullptr;
   }
@@ -102,8 +102,8 @@
     : State_(std::make_shared<State>(Io, std::move(S), L, std::move(C))) {}
 
 PeerNet::~PeerNet() {
-  // Connections and this state refer to each other; closing them all breaks
-  // the cycle. A stopped IoThread runs nothing any more, so it is done here.
+  // Connections and this state refer to each other; closing all connections
+  // breaks the cycle. A stopped IoThread runs no more work, so it is done here.
   auto Close = [S = State_] {
     S->Closing_ = true;
     boost::system::error_code Ignored;
@@ -138,16 +138,17 @@
 }
 
 bool PeerNet::send(const PeerAddress &To, Lane L, FrameBuffer Frame,
-                   std::function<void()> WhenPut) {
+                   std::function<void()> OnQueued) {
   return State_->Io_.submit([S = State_, To, L, Frame = std::move(Frame),
-                             WhenPut = std::move(WhenPut)] {
+                             OnQueued = std::move(OnQueued)] {
     S->sendNow({To, L}, Frame, false);
-    if (WhenPut)
-      WhenPut();
+    if (OnQueued)
+      OnQueued();
   });
 }
 
-bool PeerNet::sendFresh(const PeerAddress &To, Lane L, FrameBuffer Frame) {
+bool PeerNet::sendOnNewConnection(const PeerAddress &To, Lane L,
+                                  FrameBuffer Frame) {
   return State_->Io_.submit([S = State_, To, L, Frame = std::move(Frame)] {
     S->sendNow({To, L}, Frame, true);
   });
@@ -176,7 +177,7 @@
   return State_->Received_[indexOf(L)].load();
 }
 
-void PeerNet::showBytes(Metrics &M, Lane L) const {
+void PeerNet::updateByteMetrics(Metrics &M, Lane L) const {
   static constexpr std::array<const char *, LaneCount> Names = {
       "control", "requests", "weights"};
   Metrics::Labels Labels = {{"lane", Names[indexOf(L)]}};
--- a/hawthornroad/peers/PeerNet.h
+++ b/hawthornroad/peers/PeerNet.h
@@ -1,4 +1,4 @@
-// Framed connections between the system's own processes.
+// Framed TCP connections between the processes of the system.
 //
 //   PeerNet Net(Io, Self, {.OnFrame_ = [](const PeerContext &From,
 //                                         const wire::Frame &F) {...}});
@@ -7,23 +7,27 @@
 //   Net.reply(From.Connection_, makeFrame(Answer));
 //
 // A frame is a 4-byte little-endian length and a verified FlatBuffers
-// wire::Frame. Frames to one (address, lane) share a connection, dialled on
-// demand; lanes keep bulk weights from delaying requests and heartbeats.
+// wire::Frame. Frames to one (address, lane) share a connection, opened on
+// demand; separate lanes keep bulk weights from delaying requests and
+// heartbeats.
 //
-// Silent connections: each side pings a connection it has heard nothing on for
-// PingAfter and closes it after DeadAfter, so a path that a middlebox has
-// forgotten is noticed in DeadAfter and not when TCP gives up. sendFresh()
-// does not wait for that: it abandons the old connection and dials again.
-// On Lane::Control, which goes to many peers and seldom to one, only the
-// dialling side pings, and only for word of what it sent; it closes an unused
-// connection after ControlIdleAfter. So the connections and the bytes of a
-// process stay bounded by its own sends and not by the size of the fleet.
+// Silent connections: each side pings a connection on which it has received
+// nothing for PingAfter and closes it after DeadAfter, so a path whose state a
+// middlebox has lost is detected within DeadAfter and not when TCP gives up.
+// sendOnNewConnection() does not wait for that: it closes the old connection
+// and opens another.
+// Lane::Control reaches many peers, each of them seldom. There only the
+// dialling side pings, and only while a frame that it sent is unanswered; it
+// closes an unused connection after ControlIdleAfter. So a process's
+// connections and bytes are bounded by its own sends and not by the size of
+// the fleet.
 //
-// Dead peers: a frame is never written to a connection whose end has arrived;
-// it goes over one dialled anew, so a refused dial truthfully says not sent.
+// Dead peers: a frame is never written to a connection whose end of stream has
+// arrived; it goes over a new one, so that a refused connection attempt proves
+// that the frame was not sent.
 //
-// Bounds: a frame above MaxFrame closes the connection; a connection whose
-// unsent bytes exceed MaxBacklog refuses further sends (false).
+// Bounds: a received frame above MaxFrame closes the connection, and so does a
+// send that takes the connection's unsent bytes above MaxBacklog.
 
 #ifndef HAWTHORNROAD_PEERS_PEERNET_H
 #define HAWTHORNROAD_PEERS_PEERNET_H
@@ -60,7 +64,7 @@
 // What a receiver knows of a frame's sender.
 struct PeerContext {
   ConnectionId Connection_ = 0;
-  // From the peer's Hello; empty until it came.
+  // From the peer's Hello; empty until that is received.
   ProcessName Process_;
   Incarnation Incarnation_ = 0;
   // The peer's own listener from its Hello, or the dialled address.
@@ -75,7 +79,7 @@
     Incarnation Incarnation_ = 0;
     AvailabilityZone Zone_;
     std::string Role_;
-    // The address told to peers in place of the listener's; may be empty.
+    // Address announced to peers in place of the listener's; may be empty.
     std::string Advertise_;
   };
   struct Limits {
@@ -84,7 +88,7 @@
     Duration ConnectTimeout_ = Milliseconds(500);
     Duration PingAfter_ = Milliseconds(500);
     Duration DeadAfter_ = Milliseconds(2000);
-    // A connection that carried no frame but pings for this long is closed.
+    // A connection that carried only pings for this long is closed.
     Duration IdleAfter_ = Seconds(60);
     // The same on Lane::Control.
     Duration ControlIdleAfter_ = Seconds(5);
@@ -107,18 +111,18 @@
   void closeListener();
 
   // Thread-safe. False when the IoThread's ring is full: nothing was sent.
-  // True promises only that the frame was queued; loss shows as OnLost_.
-  // WhenPut runs on the IoThread once the frame is on its connection and before
-  // any later loss of that connection is told. May be empty.
+  // True means only that the frame was queued; its loss is reported by OnLost_.
+  // OnQueued runs on the IoThread once the frame is queued on its connection
+  // and before any later loss of that connection is reported. May be empty.
   bool send(const PeerAddress &To, Lane L, FrameBuffer Frame,
-            std::function<void()> WhenPut = {});
-  // As send, over a connection dialled anew.
-  bool sendFresh(const PeerAddress &To, Lane L, FrameBuffer Frame);
+            std::function<void()> OnQueued = {});
+  // Like send(), over a newly opened connection.
+  bool sendOnNewConnection(const PeerAddress &To, Lane L, FrameBuffer Frame);
   // Sends on the connection a frame came in on; lost if that is closed.
   bool reply(ConnectionId To, FrameBuffer Frame);
   // Unsent bytes of a connection; call on the IoThread. 0 when unknown.
   std::size_t backlog(ConnectionId Id) const;
-  // The revision told in later Hellos.
+  // Sets the revision announced in later Hellos.
   void setRevision(Revision R);
 
   // Bytes of a lane sent and received so far: frames, Hellos and pings with
@@ -126,7 +130,7 @@
   std::uint64_t bytesSent(Lane L) const;
   std::uint64_t bytesReceived(Lane L) const;
   // Sets hawthornroad_peer_bytes_sent_total and _received_total of a lane.
-  void showBytes(Metrics &M, Lane L) const;
+  void updateByteMetrics(Metrics &M, Lane L) const;
 
   struct State;
 
--- a/hawthornroad/peers/PeerPace.h
+++ b/hawthornroad/peers/PeerPace.h
@@ -1,8 +1,9 @@
-// How entries and agents of a store-based platform keep their connections.
+// Ping intervals of the connections between the entries and agents of a
+// store-based platform.
 //
-// A connection carries a notice now and then; what it costs is its pings. Three
-// seconds between them find a silent one in seven, and until then an entry
-// merely learns of a load from the engine's own refusals.
+// Such a connection carries only an occasional notice, so most of its cost is
+// its pings. A ping every three seconds detects a silent connection within
+// seven; until then an entry learns of a load only from the engine's refusals.
 
 #ifndef HAWTHORNROAD_PEERS_PEERPACE_H
 #define HAWTHORNROAD_PEERS_PEERPACE_H
@@ -11,11 +12,11 @@
 
 namespace hawthornroad {
 
-inline constexpr Duration PeerPing = Seconds(3);
-inline constexpr Duration PeerDead = Seconds(7);
+inline constexpr Duration PeerPingAfter = Seconds(3);
+inline constexpr Duration PeerDeadAfter = Seconds(7);
 
-// What an EngineNotice tells. Away: it takes nothing new, since it holds no
-// weights, or a load follows or is under way.
+// The phase reported by an EngineNotice. Away: the engine accepts no new
+// attempts because it holds no weights, or a load is pending or in progress.
 enum class EnginePhase : std::uint8_t { Serving = 0, Away = 1 };
 
 } // namespace hawthornroad
--- a/hawthornroad/peers/ReadWindow.h
+++ b/hawthornroad/peers/ReadWindow.h
@@ -1,13 +1,13 @@
-// How far a reader may run ahead of those who take its bytes.
+// Bounds how far a reader may get ahead of the consumer of its bytes.
 //
 //   ReadWindow Window(4 << 20);
 //   Window.take(Bytes.size());       // read and passed on
 //   if (!Window.isOpen()) stopReading();
-//   Window.release(Offset);          // all before Offset is free again
+//   Window.release(Offset);          // all bytes before Offset are consumed
 //
-// It lives on the reader's own thread, so the bound needs nobody's word in
-// time: however late the thread that consumes the bytes is, what is read and
-// not released stays below the window's size and one read more.
+// It is used on the reader's own thread, so the bound does not depend on timely
+// messages from another thread: however late the consumer is, the bytes read
+// and not released stay below the window's size plus one read.
 
 #ifndef HAWTHORNROAD_PEERS_READWINDOW_H
 #define HAWTHORNROAD_PEERS_READWINDOW_H
@@ -23,8 +23,8 @@
   explicit ReadWindow(std::uint64_t Size) : Size_(Size) {}
 
   void take(std::uint64_t Bytes) { Taken_ += Bytes; }
-  // Releases may come late, twice and out of order; one beyond what was taken
-  // counts as all of it, or it would let the reader run on past the window.
+  // Releases may be late, repeated or out of order. An offset beyond the bytes
+  // taken counts as all of them; otherwise the reader could exceed the window.
   void release(std::uint64_t Offset) {
     Released_ = std::max(Released_, std::min(Offset, Taken_));
   }
--- a/hawthornroad/runtime/AgentProcess.cpp
+++ b/hawthornroad/runtime/AgentProcess.cpp
@@ -196,9 +196,9 @@
       Done(R"({"error":"busy"})");
   };
   Hooks.BeforeMetrics_ = [this] {
-    Peers_.showBytes(Metrics_, Lane::Control);
-    Peers_.showBytes(Metrics_, Lane::Requests);
-    WeightsNet_.showBytes(Metrics_, Lane::Weights);
+    Peers_.updateByteMetrics(Metrics_, Lane::Control);
+    Peers_.updateByteMetrics(Metrics_, Lane::Requests);
+    WeightsNet_.updateByteMetrics(Metrics_, Lane::Weights);
   };
   Hooks.Routes_.push_back(
       {"POST", "/drain", [this](HttpRequest, auto Exchange) {
--- a/hawthornroad/runtime/ControlPlane.cpp
+++ b/hawthornroad/runtime/ControlPlane.cpp
@@ -201,7 +201,7 @@
   if (ReplyTo_ != nullptr && ReplyTo_->Address_ == Send.To_)
     Net_.reply(ReplyTo_->Connection_, std::move(Frame));
   else if (Send.NewConnection_)
-    Net_.sendFresh(Send.To_, Lane::Control, std::move(Frame));
+    Net_.sendOnNewConnection(Send.To_, Lane::Control, std::move(Frame));
   else
     Net_.send(Send.To_, Lane::Control, std::move(Frame));
 }
--- a/hawthornroad/runtime/EntryActions.cpp
+++ b/hawthornroad/runtime/EntryActions.cpp
@@ -47,7 +47,7 @@
 
 void EntryProcess::State::perform(const QueryAttempt &A, TimePoint) {
   if (A.NewConnection_)
-    Net_->sendFresh(A.Address_, Lane::Requests, toFrame(A));
+    Net_->sendOnNewConnection(A.Address_, Lane::Requests, toFrame(A));
   else
     Net_->send(A.Address_, Lane::Requests, toFrame(A));
   Metrics_.count("hawthornroad_attempt_questions_total",
--- a/hawthornroad/runtime/EntryProcess.cpp
+++ b/hawthornroad/runtime/EntryProcess.cpp
@@ -232,8 +232,8 @@
   H.BeforeMetrics_ = [this] {
     Metrics_.set("hawthornroad_decision_backlog",
                  static_cast<double>(Loop_->backlog()));
-    Net_->showBytes(Metrics_, Lane::Control);
-    Net_->showBytes(Metrics_, Lane::Requests);
+    Net_->updateByteMetrics(Metrics_, Lane::Control);
+    Net_->updateByteMetrics(Metrics_, Lane::Requests);
   };
   return H;
 }
@@ -255,7 +255,7 @@
                                     const wire::FrameT &Frame, TimePoint Now) {
   if (Control_->onFrame(From, Frame, Now))
     return;
-  std::optional<AttemptUpdate> Word = toAttemptWord(Frame, From.Incarnation_);
+  std::optional<AttemptUpdate> Word = toAttemptUpdate(Frame, From.Incarnation_);
   if (!Word)
     return;
   AttemptId Id =
--- a/hawthornroad/transfer/ChunkStore.cpp
+++ b/hawthornroad/transfer/ChunkStore.cpp
@@ -18,34 +18,36 @@
 namespace {
 constexpr const char *ManifestSuffix = ".manifest";
 constexpr const char *PartSuffix = ".part";
-constexpr const char *WholeSuffix = ".bin";
+constexpr const char *CompleteSuffix = ".bin";
 constexpr const char *NoteSuffix = ".note";
 constexpr const char *NewSuffix = ".new";
 constexpr std::size_t DigestPrefixLength = 7; // "sha256:"
-// Chunks hashed towards the whole after each write: two, so that the hash of
-// the whole catches up while chunks come in and little is left at the end.
-constexpr std::size_t PrefixStep = 2;
+// Chunks added to the running hash of the whole file after each write: two, so
+// that the hash catches up while chunks arrive and little is left at the end.
+constexpr std::size_t ChunksHashedPerWrite = 2;
 
-[[noreturn]] void failFile(const std::string &Path, const std::string &What) {
+[[noreturn]] void throwFileError(const std::string &Path,
+                                 const std::string &What) {
   throw Error(Step::Fetch, Path, What + ": " + std::strerror(errno));
 }
 
-std::string readWhole(const std::string &Path) {
+std::string readFile(const std::string &Path) {
   std::ifstream In(Path, std::ios::binary);
   std::ostringstream Out;
   Out << In.rdbuf();
   return Out.str();
 }
 
-// Written beside and renamed, so that a kill leaves the old file or the new.
-void writeWhole(const std::string &Path, std::string_view Bytes) {
+// Writes a temporary file and renames it, so that a process killed midway
+// leaves either the old file or the new one.
+void replaceFile(const std::string &Path, std::string_view Bytes) {
   std::string New = Path + NewSuffix;
   {
     std::ofstream Out(New, std::ios::binary | std::ios::trunc);
     Out.write(Bytes.data(), static_cast<std::streamsize>(Bytes.size()));
     Out.flush();
     if (!Out)
-      failFile(New, "cannot write");
+      throwFileError(New, "cannot write");
   }
   fs::rename(New, Path);
 }
@@ -55,13 +57,13 @@
   File(std::string Path, int Flags) : Path_(std::move(Path)) {
     Handle_ = ::open(Path_.c_str(), Flags | O_CLOEXEC, 0644);
     if (Handle_ < 0)
-      failFile(Path_, "cannot open");
+      throwFileError(Path_, "cannot open");
   }
   ~File() { ::close(Handle_); }
   File(const File &) = delete;
   File &operator=(const File &) = delete;
 
-  // Short at the end of the file.
+  // Returns fewer bytes at the end of the file.
   std::string read(ChunkSpan Span) const {
     std::string Bytes(Span.Length_, '\0');
     std::size_t Got = 0;
@@ -71,7 +73,7 @@
       if (N < 0 && errno == EINTR)
         continue;
       if (N < 0)
-        failFile(Path_, "cannot read");
+        throwFileError(Path_, "cannot read");
       if (N == 0)
         break;
       Got += static_cast<std::size_t>(N);
@@ -87,7 +89,7 @@
       if (N < 0 && errno == EINTR)
         continue;
       if (N < 0)
-        failFile(Path_, "cannot write");
+        throwFileError(Path_, "cannot write");
       Offset += static_cast<std::uint64_t>(N);
       Bytes.remove_prefix(static_cast<std::size_t>(N));
     }
@@ -95,7 +97,7 @@
 
   void resize(std::uint64_t Size) const {
     if (::ftruncate(Handle_, static_cast<off_t>(Size)) != 0)
-      failFile(Path_, "cannot resize");
+      throwFileError(Path_, "cannot resize");
   }
 
 private:
@@ -103,7 +105,8 @@
   int Handle_ = -1;
 };
 
-bool isRight(const Manifest &M, ChunkIndex Index, const std::string &Bytes) {
+bool matchesDigest(const Manifest &M, ChunkIndex Index,
+                   const std::string &Bytes) {
   try {
     M.verifyChunk(Index, Bytes, {});
     return true;
@@ -128,8 +131,8 @@
   Manifest Manifest_;
   File File_;
   std::vector<bool> Held_;
-  // Running hash of the first Hashed_ chunks of the whole.
-  Sha256 Prefix_;
+  // Running hash of the first Hashed_ chunks of the file.
+  Sha256 RunningHash_;
   ChunkIndex Hashed_ = 0;
 };
 
@@ -156,25 +159,24 @@
   std::vector<VersionDigest> Candidates;
   for (const fs::directory_entry &Entry : fs::directory_iterator(Folder_)) {
     std::string Digest = "sha256:" + Entry.path().stem().string();
-    if (Entry.path().extension() == WholeSuffix && isSha256Digest(Digest))
+    if (Entry.path().extension() == CompleteSuffix && isSha256Digest(Digest))
       Candidates.emplace_back(Digest);
   }
   for (const VersionDigest &Version : Candidates)
-    recoverOne(Version, Out);
+    recoverVersion(Version, Out);
   return Out;
 }
 
-void ChunkStore::recoverOne(const VersionDigest &Version,
-                            std::vector<StoredVersion> &Out) {
-  std::string Path = pathOf(Version, WholeSuffix);
+void ChunkStore::recoverVersion(const VersionDigest &Version,
+                                std::vector<StoredVersion> &Out) {
+  std::string Path = pathOf(Version, CompleteSuffix);
   try {
     std::string ManifestPath = pathOf(Version, ManifestSuffix);
-    Manifest M =
-        Manifest::parse(readWhole(ManifestPath), Version, ManifestPath);
+    Manifest M = Manifest::parse(readFile(ManifestPath), Version, ManifestPath);
     auto Opened = std::make_unique<OpenVersion>(M, Path, O_RDONLY);
     if (fs::file_size(Path) != M.size() ||
         digestOf(Opened->File_, M) != M.digest())
-      throw Error(Step::Verify, Path, "whole has the wrong digest");
+      throw Error(Step::Verify, Path, "complete file has the wrong digest");
     Opened->Held_.assign(M.chunkCount(), true);
     Open_[Version] = std::move(Opened);
     Out.push_back({std::move(M), Path});
@@ -187,12 +189,12 @@
                                    std::string_view ManifestBytes) {
   if (auto Found = Open_.find(M.version()); Found != Open_.end())
     return Found->second->Held_;
-  writeWhole(pathOf(M.version(), ManifestSuffix), ManifestBytes);
+  replaceFile(pathOf(M.version(), ManifestSuffix), ManifestBytes);
   auto Opened = std::make_unique<OpenVersion>(
       M, pathOf(M.version(), PartSuffix), O_RDWR | O_CREAT);
   Opened->File_.resize(M.size());
   for (ChunkIndex I = 0; I < M.chunkCount(); ++I)
-    Opened->Held_[I] = isRight(M, I, Opened->File_.read(M.chunkSpan(I)));
+    Opened->Held_[I] = matchesDigest(M, I, Opened->File_.read(M.chunkSpan(I)));
   std::vector<bool> Held = Opened->Held_;
   Open_[M.version()] = std::move(Opened);
   return Held;
@@ -202,19 +204,19 @@
                        std::string_view Bytes, const std::string &Sender) {
   OpenVersion &V = find(Version);
   V.Manifest_.verifyChunk(Index, Bytes, Sender);
-  // A chunk that came twice must not be rewritten: it may be being served.
+  // A chunk received twice must not be rewritten: a peer may be reading it.
   if (V.Held_[Index])
     return;
   V.File_.write(V.Manifest_.chunkSpan(Index).Offset_, Bytes);
   V.Held_[Index] = true;
-  advancePrefix(V, PrefixStep);
+  hashNextChunks(V, ChunksHashedPerWrite);
 }
 
-void ChunkStore::advancePrefix(OpenVersion &V, std::size_t MaxChunks) {
+void ChunkStore::hashNextChunks(OpenVersion &V, std::size_t MaxChunks) {
   for (; MaxChunks > 0; --MaxChunks) {
     if (V.Hashed_ == V.Manifest_.chunkCount() || !V.Held_[V.Hashed_])
       return;
-    V.Prefix_.update(V.File_.read(V.Manifest_.chunkSpan(V.Hashed_)));
+    V.RunningHash_.update(V.File_.read(V.Manifest_.chunkSpan(V.Hashed_)));
     ++V.Hashed_;
   }
 }
@@ -228,14 +230,14 @@
 }
 
 std::string ChunkStore::complete(const VersionDigest &Version) {
-  std::string Whole = pathOf(Version, WholeSuffix);
+  std::string Whole = pathOf(Version, CompleteSuffix);
   if (fs::exists(Whole))
     return Whole;
   OpenVersion &V = find(Version);
-  advancePrefix(V, V.Held_.size());
+  hashNextChunks(V, V.Held_.size());
   if (V.Hashed_ != V.Manifest_.chunkCount())
     throw Error(Step::Verify, Whole, "chunks are missing");
-  std::string Digest = V.Prefix_.finish();
+  std::string Digest = V.RunningHash_.finish();
   std::string Expected = V.Manifest_.digest();
   if (Digest != Expected) {
     drop(Version);
@@ -250,7 +252,7 @@
   Open_.erase(Version);
   std::error_code Ignored;
   for (const char *Suffix :
-       {WholeSuffix, PartSuffix, NoteSuffix, ManifestSuffix})
+       {CompleteSuffix, PartSuffix, NoteSuffix, ManifestSuffix})
     fs::remove(pathOf(Version, Suffix), Ignored);
 }
 
@@ -268,17 +270,17 @@
 
 std::string ChunkStore::readManifest(const VersionDigest &Version) const {
   return isSha256Digest(Version.str())
-             ? readWhole(pathOf(Version, ManifestSuffix))
+             ? readFile(pathOf(Version, ManifestSuffix))
              : std::string();
 }
 
 std::string ChunkStore::readNote(const VersionDigest &Version) const {
-  return readWhole(pathOf(Version, NoteSuffix));
+  return readFile(pathOf(Version, NoteSuffix));
 }
 
 void ChunkStore::writeNote(const VersionDigest &Version,
                            const std::string &Text) {
-  writeWhole(pathOf(Version, NoteSuffix), Text);
+  replaceFile(pathOf(Version, NoteSuffix), Text);
 }
 
 } // namespace hawthornroad
--- a/hawthornroad/transfer/OriginClient.cpp
+++ b/hawthornroad/transfer/OriginClient.cpp
@@ -6,7 +6,7 @@
 constexpr unsigned Ok = 200;
 constexpr unsigned PartialContent = 206;
 constexpr unsigned PreconditionFailed = 412;
-// A stalled origin or table shows as silence for this long.
+// A call to an origin or table that sends nothing for this long has stalled.
 constexpr auto IdleTimeout = Seconds(5);
 
 std::string rangeOf(ChunkSpan Span) {
@@ -20,65 +20,65 @@
     return {.End_ = OriginReadResult::Good, .Bytes_ = R.Response_->Body_};
   if (R.Response_)
     return {.End_ = OriginReadResult::Nothing,
-            .Why_ = Error(Step::Fetch, Origin,
-                          "answers with status " +
-                              std::to_string(R.Response_->Status_))
-                        .what()};
-  // Once the request has left, bytes may have been sent that did not arrive.
+            .Reason_ = Error(Step::Fetch, Origin,
+                             "answers with status " +
+                                 std::to_string(R.Response_->Status_))
+                           .what()};
+  // Once the request was sent, the origin may have sent bytes that were lost.
   return {.End_ =
               R.Sent_ ? OriginReadResult::Wasted : OriginReadResult::Nothing,
-          .Why_ = R.Error_->what()};
+          .Reason_ = R.Error_->what()};
 }
 } // namespace
 
 void OriginClient::call(const std::string &Address, HttpRequest R, Owner O,
-                        OnResult Then) {
+                        OnResult OnDone) {
   Client_.call(Address, std::move(R), {.IdleTimeout_ = IdleTimeout},
                {.OnDone_ = [&Loop = Loop_, O = std::move(O),
-                            Then = std::move(Then)](HttpResult Result) {
+                            OnDone = std::move(OnDone)](HttpResult Result) {
                  if (O.expired())
                    return;
                  Loop.post(
-                     [O, Then, Result = std::move(Result)](TimePoint Now) {
+                     [O, OnDone, Result = std::move(Result)](TimePoint Now) {
                        if (auto Alive = O.lock())
-                         Then(Result, Now);
+                         OnDone(Result, Now);
                      });
                }});
 }
 
-void OriginClient::readFile(const std::string &Path, Owner O, OnAnswer Then) {
+void OriginClient::readFile(const std::string &Path, Owner O, OnAnswer OnDone) {
   call(Origin_, {.Target_ = Path}, std::move(O),
-       [Origin = Origin_, Then = std::move(Then)](const HttpResult &R,
-                                                  TimePoint Now) {
-         Then(toAnswer(R, Origin, Ok), Now);
+       [Origin = Origin_, OnDone = std::move(OnDone)](const HttpResult &R,
+                                                      TimePoint Now) {
+         OnDone(toAnswer(R, Origin, Ok), Now);
        });
 }
 
 void OriginClient::readChunk(const std::string &Blob, ChunkSpan Span, Owner O,
-                             OnAnswer Then) {
+                             OnAnswer OnDone) {
   call(Origin_, {.Target_ = Blob, .Headers_ = {{"Range", rangeOf(Span)}}},
        std::move(O),
-       [Origin = Origin_, Then = std::move(Then)](const HttpResult &R,
-                                                  TimePoint Now) {
-         Then(toAnswer(R, Origin, PartialContent), Now);
+       [Origin = Origin_, OnDone = std::move(OnDone)](const HttpResult &R,
+                                                      TimePoint Now) {
+         OnDone(toAnswer(R, Origin, PartialContent), Now);
        });
 }
 
 void OriginClient::claim(const std::string &Key, const std::string &Token,
-                         Owner O, OnClaim Then) {
+                         Owner O, OnClaim OnDone) {
   std::string Target = "/table/" + Key;
-  auto ReadBack = [this, Target, Token, O, Then](const HttpResult &R,
-                                                 TimePoint Now) {
+  auto ReadBack = [this, Target, Token, O, OnDone](const HttpResult &R,
+                                                   TimePoint Now) {
     if (R.Response_ && R.Response_->Status_ == Ok)
-      return Then(ClaimResult::Won, Now);
+      return OnDone(ClaimResult::Won, Now);
     if (!R.Response_ || R.Response_->Status_ != PreconditionFailed)
-      return Then(ClaimResult::Unknown, Now);
+      return OnDone(ClaimResult::Unknown, Now);
     call(Table_, {.Target_ = Target}, O,
-         [Token, Then](const HttpResult &Held, TimePoint Later) {
+         [Token, OnDone](const HttpResult &Held, TimePoint Later) {
            if (!Held.Response_ || Held.Response_->Status_ != Ok)
-             return Then(ClaimResult::Unknown, Later);
+             return OnDone(ClaimResult::Unknown, Later);
            bool Own = Held.Response_->Body_ == Token;
-           Then(Own ? ClaimResult::Won : ClaimResult::Lost, Later);
+           OnDone(Own ? ClaimResult::Won : ClaimResult::Lost, Later);
          });
   };
   call(Table_,
--- a/hawthornroad/transfer/OriginClient.h
+++ b/hawthornroad/transfer/OriginClient.h
@@ -1,12 +1,12 @@
-// Calls of the weight path by HTTP: the origin of weights, and the ledger of
-// origin reads in the platform's table.
+// HTTP client of weight transfers, for the origin of weights and for the ledger
+// of origin reads in the platform's table.
 //
 //   OriginClient Origin(Client, Loop, "IP:port", "IP:port");
 //   Origin.readChunk(Blob, Span, Owner, [=](OriginAnswer A, TimePoint Now) {});
 //   Origin.claim("weights/origin/SERVICE/HEX/slice/3", Token, Owner,
 //                [=](ClaimResult R, TimePoint Now) {...});
 //
-// Each callback runs once in the loop, unless its Owner is gone by then.
+// Each callback runs once in the loop, unless its Owner has been destroyed.
 
 #ifndef HAWTHORNROAD_TRANSFER_ORIGINCLIENT_H
 #define HAWTHORNROAD_TRANSFER_ORIGINCLIENT_H
@@ -22,11 +22,11 @@
 namespace hawthornroad {
 
 struct OriginAnswer {
-  // Good when bytes came; they are not verified yet.
+  // Good when bytes were received; they are not verified yet.
   OriginReadResult End_ = OriginReadResult::Nothing;
   std::string Bytes_;
-  // Why there are none.
-  std::string Why_;
+  // Why no bytes were received.
+  std::string Reason_;
 };
 
 class OriginClient {
@@ -35,7 +35,7 @@
   using OnAnswer = std::function<void(OriginAnswer, TimePoint)>;
   using OnClaim = std::function<void(ClaimResult, TimePoint)>;
 
-  // Table may be empty: then there is no ledger.
+  // An empty Table means that there is no ledger.
   OriginClient(HttpClient &Client, DecisionLoop &Loop, std::string Origin,
                std::string Table)
       : Client_(Client), Loop_(Loop), Origin_(std::move(Origin)),
@@ -44,17 +44,18 @@
   bool hasLedger() const { return !Table_.empty(); }
   const std::string &origin() const { return Origin_; }
 
-  void readFile(const std::string &Path, Owner O, OnAnswer Then);
+  void readFile(const std::string &Path, Owner O, OnAnswer OnDone);
   void readChunk(const std::string &Blob, ChunkSpan Span, Owner O,
-                 OnAnswer Then);
-  // Creates Key with Token as its value, unless it exists; then reads whose
-  // token it holds, so that a claim whose answer was lost is found again.
+                 OnAnswer OnDone);
+  // Creates Key with Token as its value, unless it exists; then reads the
+  // token stored there, so that a claim whose answer was lost is recognised.
   void claim(const std::string &Key, const std::string &Token, Owner O,
-             OnClaim Then);
+             OnClaim OnDone);
 
 private:
   using OnResult = std::function<void(HttpResult, TimePoint)>;
-  void call(const std::string &Address, HttpRequest R, Owner O, OnResult Then);
+  void call(const std::string &Address, HttpRequest R, Owner O,
+            OnResult OnDone);
 
   HttpClient &Client_;
   DecisionLoop &Loop_;
--- a/hawthornroad/transfer/WeightSwarm.cpp
+++ b/hawthornroad/transfer/WeightSwarm.cpp
@@ -33,8 +33,8 @@
       Manifest_(M), Swarm_(Setup_.Swarm_, M, toSet(Held), Now),
       Download_(Setup_.DownloadRate_), Token_(N.Token_) {
   Swarm_.budget().restore(N.Charges_);
-  // The token tells this VM's claims from those of a predecessor whose note is
-  // gone, and whose charges are therefore unknown.
+  // The token distinguishes this agent's claims from those of a predecessor on
+  // this VM whose note is lost and whose charges are therefore unknown.
   if (Token_.empty()) {
     Random R(Setup_.Swarm_.Seed_);
     Token_ = Setup_.Swarm_.Self_.Vm_.str() + " " + std::to_string(R.next()) +
@@ -91,7 +91,7 @@
 
 void WeightSwarm::run(const ReadOrigin &A, TimePoint Now) {
   Download_.take(Manifest_.chunkSpan(A.Chunk_).Length_, Now);
-  bool Queued = runOnFile<bool>(
+  bool Queued = runOnFileThread<bool>(
       Work_, weak_from_this(),
       [Version = version(), Text = note().str()](ChunkStore &Store) {
         Store.writeNote(Version, Text);
@@ -99,15 +99,15 @@
       },
       [this, Index = A.Chunk_](FileOutcome<bool> Out, TimePoint Later) {
         if (Out.Result_)
-          return readNoted(Index);
-        Failure_ = Out.Why_;
+          return readRecorded(Index);
+        Failure_ = Out.Reason_;
         Swarm_.onOrigin(Index, OriginReadResult::Nothing, Later);
       });
   if (!Queued)
     Swarm_.onOrigin(A.Chunk_, OriginReadResult::Nothing, Now);
 }
 
-void WeightSwarm::readNoted(ChunkIndex Index) {
+void WeightSwarm::readRecorded(ChunkIndex Index) {
   Origin_.readChunk(Manifest_.blob(), Manifest_.chunkSpan(Index),
                     weak_from_this(),
                     [this, Index](OriginAnswer A, TimePoint Now) {
@@ -118,42 +118,42 @@
 void WeightSwarm::onOriginBytes(ChunkIndex Index, OriginAnswer A,
                                 TimePoint Now) {
   if (A.End_ != OriginReadResult::Good) {
-    Failure_ = A.Why_;
+    Failure_ = A.Reason_;
     Swarm_.onOrigin(Index, A.End_, Now);
     return;
   }
   OriginBytes_ += A.Bytes_.size();
   Work_.Metrics_.count("hawthornroad_weights_origin_bytes_total", {},
                        static_cast<double>(A.Bytes_.size()));
-  keep(Index, std::move(A.Bytes_), Origin_.origin(),
-       [this, Index](const std::string &Why, TimePoint Later) {
-         Swarm_.onOrigin(Index,
-                         Why.empty() ? OriginReadResult::Good
-                                     : OriginReadResult::Wasted,
-                         Later);
-         pump(Later);
-       });
-}
-
-void WeightSwarm::keep(ChunkIndex Index, std::string Bytes,
-                       const std::string &Sender,
-                       std::function<void(std::string, TimePoint)> Then) {
-  runOnFile<bool>(
+  verifyAndStore(Index, std::move(A.Bytes_), Origin_.origin(),
+                 [this, Index](const std::string &Reason, TimePoint Later) {
+                   Swarm_.onOrigin(Index,
+                                   Reason.empty() ? OriginReadResult::Good
+                                                  : OriginReadResult::Wasted,
+                                   Later);
+                   pump(Later);
+                 });
+}
+
+void WeightSwarm::verifyAndStore(
+    ChunkIndex Index, std::string Bytes, const std::string &Sender,
+    std::function<void(std::string, TimePoint)> OnDone) {
+  runOnFileThread<bool>(
       Work_, weak_from_this(),
       [Version = version(), Index, Bytes = std::move(Bytes),
        Sender](ChunkStore &Store) {
         Store.write(Version, Index, Bytes, Sender);
         return true;
       },
-      [this, Then = std::move(Then)](const FileOutcome<bool> &Out,
-                                     TimePoint Now) {
-        Failure_ = Out.Why_;
+      [this, OnDone = std::move(OnDone)](const FileOutcome<bool> &Out,
+                                         TimePoint Now) {
+        Failure_ = Out.Reason_;
         if (!Out.Result_) {
           Work_.Metrics_.count("hawthornroad_weights_chunks_refused_total");
-          log(LogLevel::Warning, Step::Verify, "chunk refused",
-              {{"version", version().str()}, {"detail", Out.Why_}});
+          log(LogLevel::Warning, Step::Verify, "chunk rejected",
+              {{"version", version().str()}, {"detail", Out.Reason_}});
         }
-        Then(Out.Why_, Now);
+        OnDone(Out.Reason_, Now);
       });
 }
 
@@ -226,14 +226,15 @@
     Swarm_.onRefused(Index, From, End, Now);
     return pump(Now);
   }
-  keep(Index, std::string(Reply.bytes.begin(), Reply.bytes.end()), From.str(),
-       [this, Index, From](const std::string &Why, TimePoint Later) {
-         if (Why.empty())
-           Swarm_.onChunk(Index, From, Later);
-         else
-           Swarm_.onRefused(Index, From, FetchResult::Bad, Later);
-         pump(Later);
-       });
+  verifyAndStore(
+      Index, std::string(Reply.bytes.begin(), Reply.bytes.end()), From.str(),
+      [this, Index, From](const std::string &Reason, TimePoint Later) {
+        if (Reason.empty())
+          Swarm_.onChunk(Index, From, Later);
+        else
+          Swarm_.onRefused(Index, From, FetchResult::Bad, Later);
+        pump(Later);
+      });
 }
 
 void WeightSwarm::onLost(const PeerAddress &Address, TimePoint Now) {
@@ -243,8 +244,8 @@
 }
 
 std::string WeightSwarm::failure(TimePoint Now) const {
-  std::string Stuck = Swarm_.stallReason(Now);
-  return Stuck.empty() ? Failure_ : Stuck;
+  std::string StallReason = Swarm_.stallReason(Now);
+  return StallReason.empty() ? Failure_ : StallReason;
 }
 
 } // namespace hawthornroad
--- a/hawthornroad/transfer/WeightSwarm.h
+++ b/hawthornroad/transfer/WeightSwarm.h
@@ -1,5 +1,5 @@
-// Carries out the actions of one version's Swarm: messages to peers, reads from
-// the origin, claims in the ledger; and feeds what comes back into it.
+// Runs the actions of one version's Swarm: messages to peers, reads from the
+// origin and claims in the ledger. Passes the results back to the Swarm.
 //
 //   auto S = std::make_shared<WeightSwarm>(Work, Origin, Setup, Manifest, Held,
 //                                          Note, Now);
@@ -9,9 +9,9 @@
 //   if (S->isDone()) ...
 //
 // Runs in the decision loop. A chunk is offered to peers only after the file
-// thread has verified and kept it. Each read from the origin is noted beside
-// the chunks before it begins, so that a killed agent's successor knows what
-// was charged.
+// thread has verified and stored it. Each read from the origin is recorded in
+// the note beside the chunks before it begins, so that the successor of a
+// killed agent knows what was charged.
 
 #ifndef HAWTHORNROAD_TRANSFER_WEIGHTSWARM_H
 #define HAWTHORNROAD_TRANSFER_WEIGHTSWARM_H
@@ -32,10 +32,10 @@
     Swarm::Setup Swarm_;
     ServiceName Service_;
     std::int64_t DownloadRate_ = 0;
-    // Uploads that wait now, to tell peers.
+    // Number of uploads in progress or waiting, which is reported to peers.
     std::function<std::size_t()> Load_;
   };
-  // What a predecessor on this VM left: its token and its charges.
+  // Token and charges left by the previous agent on this VM.
   struct Note {
     std::string Token_;
     std::string Charges_;
@@ -59,7 +59,7 @@
   const Manifest &manifest() const { return Manifest_; }
   const ChunkSet &held() const { return Swarm_.held(); }
   bool isDone() const { return Swarm_.isDone(); }
-  // The last fault seen, or why the transfer is stuck; empty when all is well.
+  // The last error, or why the transfer makes no progress; empty if neither.
   std::string failure(TimePoint Now) const;
   std::uint64_t originBytes() const { return OriginBytes_; }
 
@@ -72,10 +72,11 @@
   void run(const CheckOrigin &A, TimePoint Now);
   void run(const AskHave &A, TimePoint Now);
   void run(const TellHave &A, TimePoint Now);
-  void readNoted(ChunkIndex Index);
+  void readRecorded(ChunkIndex Index);
   void onOriginBytes(ChunkIndex Index, OriginAnswer A, TimePoint Now);
-  void keep(ChunkIndex Index, std::string Bytes, const std::string &Sender,
-            std::function<void(std::string, TimePoint)> Then);
+  void verifyAndStore(ChunkIndex Index, std::string Bytes,
+                      const std::string &Sender,
+                      std::function<void(std::string, TimePoint)> OnDone);
   bool sendTo(const Vm &To, FrameBuffer Frame);
   Note note();
 
--- a/hawthornroad/transfer/WeightTransfer.cpp
+++ b/hawthornroad/transfer/WeightTransfer.cpp
@@ -7,7 +7,7 @@
 namespace hawthornroad {
 
 namespace {
-// Pause before a failed transfer is tried again.
+// Delay before a failed transfer is retried.
 constexpr Duration RetryPause = Seconds(1);
 
 ChartNames chartNames() {
@@ -52,16 +52,16 @@
 void WeightTransfer::State::fire(TransferEvent E, TimePoint Now) {
   Chart::Step S =
       Chart_.fire(Phase_, static_cast<std::size_t>(E), [&](std::size_t) {
-        return Wish_ && Staged_.contains(Wish_->Model_.Version_);
+        return Wanted_ && Staged_.contains(Wanted_->Model_.Version_);
       });
   if (!S.Taken_)
     return;
   Phase_ = S.Next_;
   for (std::size_t A : S.Actions_)
-    act(static_cast<TransferAction>(A), Now);
+    runAction(static_cast<TransferAction>(A), Now);
 }
 
-void WeightTransfer::State::act(TransferAction A, TimePoint Now) {
+void WeightTransfer::State::runAction(TransferAction A, TimePoint Now) {
   switch (A) {
   case TransferAction::SeekManifest:
     return seekManifest(Now);
@@ -83,13 +83,13 @@
   std::vector<Vm> Peers;
   for (const WeightPeer &P : Peers_)
     Peers.push_back(P.Vm_);
-  ManifestPlan_.emplace(Wish_->Model_.Version_, Setup_.Settings_.Vm_,
+  ManifestPlan_.emplace(Wanted_->Model_.Version_, Setup_.Settings_.Vm_,
                         std::move(Peers), Now);
   askForManifest(Now);
 }
 
 void WeightTransfer::State::open() {
-  runOnFile<OpenedVersion>(
+  runOnFileThread<OpenedVersion>(
       Work_, weak_from_this(),
       [M = *Manifest_, Bytes = ManifestBytes_](ChunkStore &Store) {
         Store.dropPartials(M.version());
@@ -100,7 +100,7 @@
         if (!isCurrent(Version) || !isIn(TransferPhase::Opening))
           return;
         if (!Out.Result_)
-          return fail(Out.Why_, Now);
+          return fail(Out.Reason_, Now);
         Opened_ = *Out.Result_;
         fire(TransferEvent::Opened, Now);
       });
@@ -110,10 +110,10 @@
   const AgentSettings &S = Setup_.Settings_;
   WeightSwarm::Setup Own{
       .Swarm_ = {.Self_ = {S.Vm_, S.Common_.Zone_},
-                 .Preference_ = Wish_->Rollout_.Preference_,
-                 .OriginCopies_ = Wish_->Rollout_.OriginCopies_,
+                 .Preference_ = Wanted_->Rollout_.Preference_,
+                 .OriginCopies_ = Wanted_->Rollout_.OriginCopies_,
                  .Seed_ = Random_.next()},
-      .Service_ = Wish_->Service_,
+      .Service_ = Wanted_->Service_,
       .DownloadRate_ = S.DownloadRate_,
       .Load_ = [Uploads = Uploads_] { return Uploads->load(); }};
   try {
@@ -126,15 +126,15 @@
   }
   Uploads_->setChunkSize(Manifest_->chunkSize());
   Swarm_->setPeers(Peers_, Now);
-  log(LogLevel::Info, Step::Fetch, "transfer begins",
+  log(LogLevel::Info, Step::Fetch, "transfer started",
       {{"version", Manifest_->version().str()},
        {"detail", std::to_string(Swarm_->held().count()) + " of " +
                       std::to_string(Swarm_->held().size()) +
-                      " chunks are here"}});
+                      " chunks are held"}});
 }
 
 void WeightTransfer::State::verify() {
-  runOnFile<std::string>(
+  runOnFileThread<std::string>(
       Work_, weak_from_this(),
       [Version = Manifest_->version()](ChunkStore &Store) {
         return Store.complete(Version);
@@ -144,26 +144,26 @@
         if (!isCurrent(Version) || !isIn(TransferPhase::Verifying))
           return;
         if (!Out.Result_)
-          return fail(Out.Why_, Now);
+          return fail(Out.Reason_, Now);
         Staged_[Version] = {*Manifest_, *Out.Result_};
         StagedOrder_.push_back(Version);
         Failure_.clear();
         log(LogLevel::Info, Step::Verify, "version is staged",
             {{"version", Version.str()}});
-        dropOld();
+        evictOld();
         fire(TransferEvent::WholeRight, Now);
       });
 }
 
-void WeightTransfer::State::fail(std::string Why, TimePoint Now) {
-  Failure_ = std::move(Why);
+void WeightTransfer::State::fail(std::string Reason, TimePoint Now) {
+  Failure_ = std::move(Reason);
   RetryAt_ = Now + RetryPause;
-  log(LogLevel::Warning, Step::Fetch, "transfer failed, will be retried",
-      {{"version", Wish_->Model_.Version_.str()}, {"detail", Failure_}});
+  log(LogLevel::Warning, Step::Fetch, "transfer failed; will be retried",
+      {{"version", Wanted_->Model_.Version_.str()}, {"detail", Failure_}});
   fire(TransferEvent::Error, Now);
 }
 
-void WeightTransfer::State::dropOld() {
+void WeightTransfer::State::evictOld() {
   std::int64_t Kept = 0;
   std::vector<VersionDigest> Dropped;
   for (auto At = StagedOrder_.rbegin(); At != StagedOrder_.rend(); ++At) {
@@ -177,7 +177,7 @@
   for (const VersionDigest &Version : Dropped) {
     Staged_.erase(Version);
     std::erase(StagedOrder_, Version);
-    runOnFile<bool>(
+    runOnFileThread<bool>(
         Work_, weak_from_this(),
         [Version](ChunkStore &Store) {
           Store.drop(Version);
@@ -189,7 +189,7 @@
 
 void WeightTransfer::State::tick(TimePoint Now) {
   Uploads_->tick(Now);
-  if (!Recovered_ || !Wish_)
+  if (!Recovered_ || !Wanted_)
     return;
   if (isIn(TransferPhase::Manifest))
     askForManifest(Now);
@@ -218,7 +218,7 @@
       S->tick(N);
   });
   using Found = std::vector<StoredVersion>;
-  runOnFile<Found>(
+  runOnFileThread<Found>(
       State_->Work_, State_, [](ChunkStore &Store) { return Store.recover(); },
       [S = State_.get()](const FileOutcome<Found> &Out, TimePoint Now) {
         S->Recovered_ = true;
@@ -226,7 +226,7 @@
           S->Staged_[V.Manifest_.version()] = V;
           S->StagedOrder_.push_back(V.Manifest_.version());
         }
-        if (S->Wish_)
+        if (S->Wanted_)
           S->fire(TransferEvent::Wanted, Now);
         S->Callbacks_.OnChange_(Now);
       });
@@ -235,14 +235,14 @@
 void WeightTransfer::want(WantedVersion W, TimePoint Now) {
   State &S = *State_;
   bool SameVersion =
-      S.isCurrent(W.Model_.Version_) && S.Wish_->Service_ == W.Service_;
-  S.Wish_ = std::move(W);
+      S.isCurrent(W.Model_.Version_) && S.Wanted_->Service_ == W.Service_;
+  S.Wanted_ = std::move(W);
   if (!SameVersion && S.Recovered_) {
     S.Swarm_.reset();
     S.Failure_.clear();
     S.fire(TransferEvent::Wanted, Now);
   } else if (S.Swarm_) {
-    S.Swarm_->setRollout(S.Wish_->Rollout_);
+    S.Swarm_->setRollout(S.Wanted_->Rollout_);
   }
 }
 
--- a/hawthornroad/transfer/WeightTransfer.h
+++ b/hawthornroad/transfer/WeightTransfer.h
@@ -1,16 +1,17 @@
-// Brings a declared version's weights to this VM: manifest, chunks from peers
-// and the origin, verification, staging in a memory-backed folder.
+// Fetches a declared version's weights to this VM: reads the manifest, fetches
+// chunks from peers and the origin, verifies them and stages the file in a
+// memory-backed folder.
 //
 //   WeightTransfer Weights(Setup, Loop, WeightsNet, WeightsIo, Client, Metrics,
 //       {.OnChange_ = [&](TimePoint Now) { Rollout.noteStaged(...); }});
 //   Weights.want({.Service_ = S, .Model_ = M, .Rollout_ = R}, Now);
 //   Weights.setPeers(Peers, Now);        // whenever the fleet view changes
-//   if (auto Path = Weights.pathOf(Version)) ...  // whole and verified
+//   if (auto Path = Weights.pathOf(Version)) ...  // complete and verified
 //
-// Runs inside the DecisionLoop, as ControlPlane does; file reads and writes and
-// hashing run on WeightsIo's thread. A request names its manifest, so chunks of
-// two versions cannot mix; a version counts as staged only when every chunk and
-// the whole have been verified.
+// Runs in the DecisionLoop, as ControlPlane does; hashing and file access run
+// on WeightsIo's thread. A request names its manifest, so chunks of two
+// versions cannot mix; a version counts as staged only after every chunk and
+// the whole file have been verified.
 
 #ifndef HAWTHORNROAD_TRANSFER_WEIGHTTRANSFER_H
 #define HAWTHORNROAD_TRANSFER_WEIGHTTRANSFER_H
@@ -59,7 +60,7 @@
     PeerAddress WeightsAddress_;
   };
   struct Callbacks {
-    // A version became staged, failed, or was dropped.
+    // A version was staged, failed or was deleted.
     std::function<void(TimePoint)> OnChange_;
   };
 
@@ -69,22 +70,23 @@
   WeightTransfer(const WeightTransfer &) = delete;
   WeightTransfer &operator=(const WeightTransfer &) = delete;
 
-  // Verifies what a predecessor left in the folder, then counts it.
+  // Verifies the versions that a previous agent left in the folder; intact
+  // ones count as staged.
   void start(TimePoint Now);
-  // The version to have; replaces the wish before it.
+  // Sets the version to stage, in place of any set before.
   void want(WantedVersion W, TimePoint Now);
   void setPeers(std::vector<WeightPeer> Peers, TimePoint Now);
-  // Versions that must not be dropped: the one loaded and the one before.
+  // Versions that must not be deleted: the loaded one and the one before it.
   void protect(std::set<VersionDigest> Versions);
-  // Takes ChunkHave, ChunkAsk, ChunkRequest, ChunkReply from Net. True when
-  // the frame was one. Called inside the loop.
+  // Handles ChunkHave, ChunkAsk, ChunkRequest, ChunkTaken and ChunkReply frames
+  // from Net. Returns whether the frame was one of them. Call in the loop.
   bool onFrame(const PeerContext &From, wire::FrameT &Frame, TimePoint Now);
   void onLost(const PeerContext &Peer, TimePoint Now);
 
-  // The staged file of a whole, verified version.
+  // Path of the staged file of a complete, verified version.
   std::optional<std::string> pathOf(const VersionDigest &Version) const;
   std::vector<VersionDigest> staged() const;
-  // Why the wanted version cannot be had; empty when none.
+  // Why the wanted version is not staged; empty when nothing failed.
   std::string failure() const;
   boost::json::object status(TimePoint Now) const;
 
--- a/hawthornroad/transfer/WeightTransferFrames.cpp
+++ b/hawthornroad/transfer/WeightTransferFrames.cpp
@@ -6,7 +6,7 @@
   std::optional<Vm> From = ManifestPlan_->next(Now, Random_);
   if (!From)
     return;
-  VersionDigest Version = Wish_->Model_.Version_;
+  VersionDigest Version = Wanted_->Model_.Version_;
   if (!From->empty()) {
     wire::ChunkRequestT Request;
     Request.manifest = Version.str();
@@ -17,12 +17,12 @@
         Work_.Net_.send(P.WeightsAddress_, Lane::Weights, makeFrame(Request));
     return;
   }
-  Origin_.readFile(Wish_->Model_.Manifest_, weak_from_this(),
+  Origin_.readFile(Wanted_->Model_.Manifest_, weak_from_this(),
                    [this, Version](const OriginAnswer &A, TimePoint Later) {
                      if (!isCurrent(Version) || !isIn(TransferPhase::Manifest))
                        return;
                      if (A.End_ != OriginReadResult::Good)
-                       return fail(A.Why_, Later);
+                       return fail(A.Reason_, Later);
                      onManifestBytes(Version, A.Bytes_, Origin_.origin(),
                                      Later);
                    });
@@ -59,15 +59,16 @@
                       From.Address_.str(), Now);
     return;
   }
-  if (!swarms(Version))
+  if (!isInSwarm(Version))
     return;
   for (const WeightPeer &P : Peers_)
     if (P.WeightsAddress_ == From.Address_)
       Swarm_->onReply(P.Vm_, Reply, Now);
 }
 
-// A version that lies here whole, though it is not the one being fetched.
-void WeightTransfer::State::tell(const Vm &To, const VersionDigest &Version) {
+// Offers all chunks of a staged version that is not the one being fetched.
+void WeightTransfer::State::sendStagedHave(const Vm &To,
+                                           const VersionDigest &Version) {
   auto Found = Staged_.find(Version);
   if (Found == Staged_.end())
     return;
@@ -90,16 +91,16 @@
   switch (Frame.body.type) {
   case wire::Body::ChunkHave: {
     const wire::ChunkHaveT &Have = *Frame.body.AsChunkHave();
-    if (S.swarms(VersionDigest(Have.manifest)))
+    if (S.isInSwarm(VersionDigest(Have.manifest)))
       S.Swarm_->onHave(Have, Now);
     return true;
   }
   case wire::Body::ChunkAsk: {
     const wire::ChunkAskT &Ask = *Frame.body.AsChunkAsk();
-    if (S.swarms(VersionDigest(Ask.manifest)))
+    if (S.isInSwarm(VersionDigest(Ask.manifest)))
       S.Swarm_->onAsk(Vm(Ask.vm), Now);
     else
-      S.tell(Vm(Ask.vm), VersionDigest(Ask.manifest));
+      S.sendStagedHave(Vm(Ask.vm), VersionDigest(Ask.manifest));
     return true;
   }
   case wire::Body::ChunkRequest:
--- a/hawthornroad/transfer/WeightTransferState.h
+++ b/hawthornroad/transfer/WeightTransferState.h
@@ -1,5 +1,5 @@
-// The inside of WeightTransfer, shared by WeightTransfer.cpp (the life of a
-// transfer) and WeightTransferFrames.cpp (what peers send and are sent).
+// The private state of WeightTransfer, shared by WeightTransfer.cpp (phases of
+// a transfer) and WeightTransferFrames.cpp (messages to and from peers).
 
 #ifndef HAWTHORNROAD_TRANSFER_WEIGHTTRANSFERSTATE_H
 #define HAWTHORNROAD_TRANSFER_WEIGHTTRANSFERSTATE_H
@@ -35,7 +35,7 @@
 };
 enum class TransferAction { SeekManifest, Open, JoinSwarm, Verify, Report };
 
-// What the file thread finds when it opens a version.
+// What the file thread found when it opened a version.
 struct OpenedVersion {
   std::vector<bool> Held_;
   std::string Note_;
@@ -46,7 +46,7 @@
         HttpClient &Client, Metrics &M, Callbacks C);
 
   void fire(TransferEvent E, TimePoint Now);
-  void act(TransferAction A, TimePoint Now);
+  void runAction(TransferAction A, TimePoint Now);
   void seekManifest(TimePoint Now);
   void askForManifest(TimePoint Now);
   void onManifestBytes(const VersionDigest &Version, const std::string &Bytes,
@@ -54,19 +54,19 @@
   void open();
   void joinSwarm(TimePoint Now);
   void verify();
-  void fail(std::string Why, TimePoint Now);
-  void dropOld();
+  void fail(std::string Reason, TimePoint Now);
+  void evictOld();
   void tick(TimePoint Now);
-  void tell(const Vm &To, const VersionDigest &Version);
+  void sendStagedHave(const Vm &To, const VersionDigest &Version);
   void onReply(const PeerContext &From, wire::ChunkReplyT &Reply,
                TimePoint Now);
   bool isCurrent(const VersionDigest &V) const {
-    return Wish_ && Wish_->Model_.Version_ == V;
+    return Wanted_ && Wanted_->Model_.Version_ == V;
   }
   bool isIn(TransferPhase P) const {
     return static_cast<TransferPhase>(Phase_) == P;
   }
-  bool swarms(const VersionDigest &V) const {
+  bool isInSwarm(const VersionDigest &V) const {
     return Swarm_ && Swarm_->version() == V;
   }
 
@@ -84,7 +84,7 @@
   std::vector<VersionDigest> StagedOrder_;
   std::set<VersionDigest> Protected_;
   std::vector<WeightPeer> Peers_;
-  std::optional<WantedVersion> Wish_;
+  std::optional<WantedVersion> Wanted_;
   std::optional<ManifestPlan> ManifestPlan_;
   std::optional<Manifest> Manifest_;
   std::string ManifestBytes_;
--- a/hawthornroad/transfer/WeightUploads.cpp
+++ b/hawthornroad/transfer/WeightUploads.cpp
@@ -50,14 +50,14 @@
 }
 
 void WeightUploads::start(const Upload &U) {
-  bool Queued = runOnFile<std::string>(
+  bool Queued = runOnFileThread<std::string>(
       Work_, weak_from_this(),
       [U](ChunkStore &Store) {
         if (U.Chunk_ != ManifestIndex)
           return Store.read(U.Version_, U.Chunk_);
         std::string Bytes = Store.readManifest(U.Version_);
         if (Bytes.empty())
-          throw Error(Step::Manifest, U.Version_.str(), "manifest is not here");
+          throw Error(Step::Manifest, U.Version_.str(), "manifest is not held");
         return Bytes;
       },
       [this, U](const FileOutcome<std::string> &Read, TimePoint) {
@@ -80,8 +80,8 @@
   }
   bool Sent = Found != Connections_.end() &&
               Work_.Net_.reply(Found->second, makeFrame(std::move(Reply)));
-  // A chunk's place is free when the peer acknowledges it; nobody
-  // acknowledges an error or what was not sent.
+  // A chunk's slot is freed when the peer acknowledges it. An error, or a
+  // reply that could not be sent, is never acknowledged.
   if (!Sent || !Read.Result_)
     Scheduler_.finish(U);
 }
--- a/hawthornroad/transfer/WeightUploads.h
+++ b/hawthornroad/transfer/WeightUploads.h
@@ -1,13 +1,13 @@
-// Serves chunks and manifests of this VM's versions to peers.
+// Serves chunks and manifests of the versions on this VM to peers.
 //
 //   auto U = std::make_shared<WeightUploads>(Work, Settings.UploadRate_);
 //   U->onRequest(From, Request, Now);     // ChunkRequest
 //   U->onTaken(Taken, Now);               // ChunkTaken
 //   U->tick(Now);
 //
-// Memory: at most UploadScheduler's Active_ chunks, each from the read until
-// its peer says that it has it. A request that finds no place is answered
-// "busy" at once, one for a chunk that is not here "missing".
+// Memory: at most UploadScheduler's Active_ chunks, each from its read until
+// the peer acknowledges it. A request that finds no free slot is answered
+// "busy" at once, and one for a chunk that is not held "missing".
 
 #ifndef HAWTHORNROAD_TRANSFER_WEIGHTUPLOADS_H
 #define HAWTHORNROAD_TRANSFER_WEIGHTUPLOADS_H
@@ -21,7 +21,7 @@
 
 namespace hawthornroad {
 
-// In place of a chunk's index: the manifest.
+// Stands for the manifest in place of a chunk's index.
 constexpr ChunkIndex ManifestIndex = std::numeric_limits<ChunkIndex>::max();
 
 class WeightUploads : public std::enable_shared_from_this<WeightUploads> {
@@ -34,7 +34,7 @@
   void onTaken(const wire::ChunkTakenT &Taken, TimePoint Now);
   void onLost(ConnectionId Connection, TimePoint Now);
   void tick(TimePoint Now);
-  // Chunk sizes set the pace of a shaped link.
+  // The chunk size determines how often a rate-limited link starts an upload.
   void setChunkSize(std::uint64_t Bytes) { ChunkSize_ = Bytes; }
   std::size_t load() const { return Scheduler_.load(); }
 
@@ -45,7 +45,7 @@
   WeightWork Work_;
   UploadScheduler Scheduler_;
   std::uint64_t ChunkSize_ = 0;
-  // Where each peer's last request came in.
+  // The connection on which each peer's last request arrived.
   std::map<Vm, ConnectionId> Connections_;
 };
 
--- a/hawthornroad/transfer/WeightWork.h
+++ b/hawthornroad/transfer/WeightWork.h
@@ -1,13 +1,14 @@
-// What the parts of the weight path share: where work is done, and how its
-// outcome comes back to the decisions.
+// Shared by the parts of weight transfer: the threads on which work runs, and
+// how its result returns to the decision loop.
 //
-//   runOnFile<bool>(Work, weak_from_this(),
+//   runOnFileThread<bool>(Work, weak_from_this(),
 //       [=](ChunkStore &S) { S.write(...); return true; },
 //       [this](FileOutcome<bool> Out, TimePoint Now) {...});
 //
-// The file thread blocks and hashes; the decision loop never does. Then runs in
-// the loop, and not at all when its owner is gone by then. A full ring loses
-// the outcome: whoever waits for one has a time limit.
+// The file thread blocks and hashes; the decision loop never does. OnDone runs
+// in the loop, and not at all if its owner has been destroyed. When the loop's
+// ring is full the outcome is lost, so callers that wait for one set a time
+// limit.
 
 #ifndef HAWTHORNROAD_TRANSFER_WEIGHTWORK_H
 #define HAWTHORNROAD_TRANSFER_WEIGHTWORK_H
@@ -32,31 +33,32 @@
   std::shared_ptr<ChunkStore> Store_;
 };
 
-// A result, or why there is none.
+// A result, or the reason why there is none.
 template <class Result> struct FileOutcome {
   std::optional<Result> Result_;
-  std::string Why_;
+  std::string Reason_;
 };
 
-// False when the file thread's ring is full; Then does not run.
+// Returns false when the file thread's ring is full; OnDone does not run.
 template <class Result>
-bool runOnFile(const WeightWork &W, std::weak_ptr<void> Owner,
-               std::function<Result(ChunkStore &)> Work,
-               std::function<void(FileOutcome<Result>, TimePoint)> Then) {
+bool runOnFileThread(
+    const WeightWork &W, std::weak_ptr<void> Owner,
+    std::function<Result(ChunkStore &)> Work,
+    std::function<void(FileOutcome<Result>, TimePoint)> OnDone) {
   return W.FileIo_.submit([&Loop = W.Loop_, Store = W.Store_,
                            Owner = std::move(Owner), Work = std::move(Work),
-                           Then = std::move(Then)] {
+                           OnDone = std::move(OnDone)] {
     FileOutcome<Result> Out;
     try {
       Out.Result_ = Work(*Store);
     } catch (const std::exception &E) {
-      Out.Why_ = E.what();
+      Out.Reason_ = E.what();
     }
     if (Owner.expired())
       return;
-    Loop.post([Owner, Then, Out = std::move(Out)](TimePoint Now) {
+    Loop.post([Owner, OnDone, Out = std::move(Out)](TimePoint Now) {
       if (auto Alive = Owner.lock())
-        Then(Out, Now);
+        OnDone(Out, Now);
     });
   });
 }
--- a/tests/integration/AgentAttemptsTest.cpp
+++ b/tests/integration/AgentAttemptsTest.cpp
@@ -123,7 +123,7 @@
   Entry_.send(to(), Query);
   Answer Asked = Entry_.await(Attempt, hasState);
   REQUIRE(Asked.State_ == wire::AttemptPhase::NeverSeen);
-  Entry_.sendFresh(to(), begin(Attempt));
+  Entry_.sendOnNewConnection(to(), begin(Attempt));
   REQUIRE(Entry_.awaitOver(Attempt).Refused_.has_value());
   REQUIRE(runs() == 0);
   RequestId Request = idFromWire<RequestId>(begin(Attempt).request.get());
@@ -147,8 +147,8 @@
   Entry_.send(Path.address(), begin(Attempt));
   Entry_.await(Attempt, [](const Answer &A) { return A.Accepted_ == 1; });
   Path.setFaults(R"({"silent_existing":true})");
-  Entry_.sendFresh(Path.address(),
-                   RawEntry::about<wire::AttemptQueryT>(Attempt));
+  Entry_.sendOnNewConnection(Path.address(),
+                             RawEntry::about<wire::AttemptQueryT>(Attempt));
   Answer A = Entry_.awaitOver(Attempt);
   REQUIRE(A.isWhole());
   REQUIRE(A.State_ == wire::AttemptPhase::Running);
--- a/tests/integration/ProxyTest.cpp
+++ b/tests/integration/ProxyTest.cpp
@@ -28,7 +28,7 @@
     Pull.after = Number;
     PeerAddress To(Proxy_->address());
     auto Frame = makeFrame(std::move(Pull));
-    bool Queued = Fresh ? Sender_.sendFresh(To, Lane::Control, Frame)
+    bool Queued = Fresh ? Sender_.sendOnNewConnection(To, Lane::Control, Frame)
                         : Sender_.send(To, Lane::Control, Frame);
     REQUIRE(Queued);
   }
--- a/tests/integration/RawEntry.h
+++ b/tests/integration/RawEntry.h
@@ -83,9 +83,9 @@
     REQUIRE(Net_.send(PeerAddress(To), Lane::Requests, makeFrame(Message)));
   }
   template <class MessageT>
-  void sendFresh(const std::string &To, const MessageT &Message) {
-    REQUIRE(
-        Net_.sendFresh(PeerAddress(To), Lane::Requests, makeFrame(Message)));
+  void sendOnNewConnection(const std::string &To, const MessageT &Message) {
+    REQUIRE(Net_.sendOnNewConnection(PeerAddress(To), Lane::Requests,
+                                     makeFrame(Message)));
   }
 
   // Waits until Enough holds; fails the test after a generous time.
--- a/tests/integration/SilentConnectionsTest.cpp
+++ b/tests/integration/SilentConnectionsTest.cpp
@@ -7,9 +7,9 @@
 TEST_CASE(
     "invoice, its connection gone silent for good, is found again and runs "
     "once") {
-  // A middlebox forgets the connection between entry and agent while the call
-  // runs: nothing comes through any more, no reset either, and TCP would go on
-  // for minutes. New connections work.
+  // A middlebox loses the state of the connection between entry and agent while
+  // the call runs: nothing is delivered any more, not even a reset, and TCP
+  // would retransmit for minutes. New connections work.
   auto F = desks(FleetBuilder()
                      .modelVms(0)
                      .plainVms(1)
@@ -26,8 +26,8 @@
 
 TEST_CASE("invoice, given to a connection that had gone silent, did not run "
           "twice and is answered") {
-  // The connection has been silent before the call: its begin goes into the
-  // void. The agent, asked over a fresh one, has never seen it.
+  // The connection stopped delivering before the call, so the call's begin is
+  // lost. The agent, queried over a new connection, has never seen it.
   auto F = desks(FleetBuilder()
                      .modelVms(0)
                      .plainVms(1)
--- a/tests/unit/WeightTransferTest.cpp
+++ b/tests/unit/WeightTransferTest.cpp
@@ -17,7 +17,7 @@
 using namespace hawthornroad;
 
 namespace {
-constexpr auto Patience = Seconds(20);
+constexpr auto AwaitTimeout = Seconds(20);
 constexpr std::size_t ChunkSize = 1000;
 const std::string ManifestPath = "/m/manifest.json";
 const std::string BlobPath = "/m/weights.bin";
@@ -48,9 +48,9 @@
   std::string Manifest_;
 };
 
-// An origin in this process, whose answers a test can spoil.
+// An origin in this process whose answers a test can corrupt.
 struct Origin {
-  using Spoil = std::function<void(HttpResponse &)>;
+  using Corrupt = std::function<void(HttpResponse &)>;
 
   explicit Origin(IoThread &Io)
       : Server_(Io, {}, [this](HttpRequest R, std::shared_ptr<HttpExchange> X) {
@@ -70,8 +70,8 @@
     std::size_t To = std::stoul(Range.substr(Range.find('-') + 1));
     HttpResponse Out{.Status_ = 206,
                      .Body_ = Weights_.Blob_.substr(From, To - From + 1)};
-    if (Spoil_)
-      Spoil_(Out);
+    if (Corrupt_)
+      Corrupt_(Out);
     BlobBytes_ += Out.Body_.size();
     return Out;
   }
@@ -82,14 +82,14 @@
 
   std::mutex Mutex_;
   Weights Weights_{""};
-  Spoil Spoil_;
+  Corrupt Corrupt_;
   std::atomic<bool> Down_{false};
   std::atomic<std::uint64_t> BlobBytes_{0};
   HttpServer Server_;
   std::string Address_;
 };
 
-// The platform's table, as far as the ledger of origin reads needs it.
+// The part of the platform's table that the ledger of origin reads uses.
 struct Ledger {
   explicit Ledger(IoThread &Io)
       : Server_(Io, {}, [this](HttpRequest R, std::shared_ptr<HttpExchange> X) {
@@ -105,8 +105,8 @@
       return {.Status_ = 200, .Body_ = Values_[R.Target_]};
     if (!Values_.try_emplace(R.Target_, R.Body_).second)
       return {.Status_ = 412};
-    // The write took effect, its answer is lost.
-    if (LoseAnswers_-- > 0)
+    // The write took effect, but its answer is lost.
+    if (AnswersToLose_-- > 0)
       return {.Status_ = 503};
     return {.Status_ = 200};
   }
@@ -114,7 +114,7 @@
   std::mutex Mutex_;
   std::map<std::string, std::string> Values_;
   std::atomic<bool> Down_{false};
-  int LoseAnswers_ = 0;
+  int AnswersToLose_ = 0;
   HttpServer Server_;
   std::string Address_;
 };
@@ -137,7 +137,7 @@
   std::string Folder_;
 };
 
-// One agent's weight path: its loop, peer listener and folder.
+// Weight transfer of one agent: its loop, peer listener and folder.
 class Agent {
 public:
   Agent(TransferFixture &F, const std::string &Name,
@@ -149,8 +149,8 @@
                auto Copy = std::make_shared<wire::FrameT>();
                Frame.UnPackTo(Copy.get());
                Loop_.post([this, From, Copy](TimePoint Now) {
-                 if (Spoil_)
-                   Spoil_(*Copy);
+                 if (Corrupt_)
+                   Corrupt_(*Copy);
                  Transfer_->onFrame(From, *Copy, Now);
                });
              }}) {
@@ -163,11 +163,11 @@
     S.Common_.Platform_.Table_ = F.Ledger_.Address_;
     S.Origin_ = F.Origin_.Address_;
     S.WeightsFolder_ = F.Folder_ + "/" + Name;
-    Own_ =
+    OwnAddress_ =
         PeerAddress("127.0.0.1:" + std::to_string(Net_.listen("127.0.0.1", 0)));
     Transfer_.emplace(
-        WeightTransfer::Setup{.Settings_ = S, .WeightsAddress_ = Own_}, Loop_,
-        Net_, F.Files_, F.Client_, Metrics_,
+        WeightTransfer::Setup{.Settings_ = S, .WeightsAddress_ = OwnAddress_},
+        Loop_, Net_, F.Files_, F.Client_, Metrics_,
         WeightTransfer::Callbacks{.OnChange_ = [](TimePoint) {}});
     run([this](TimePoint Now) { Transfer_->start(Now); });
   }
@@ -191,12 +191,14 @@
         .Rollout_ = {.OriginCopies_ = Copies}};
     run([&](TimePoint Now) { Transfer_->want(Wanted, Now); });
   }
-  WeightPeer peer() const { return {Vm(Name_), AvailabilityZone(Zone_), Own_}; }
+  WeightPeer peer() const {
+    return {Vm(Name_), AvailabilityZone(Zone_), OwnAddress_};
+  }
   void setPeers(const std::vector<WeightPeer> &Peers) {
     run([&](TimePoint Now) { Transfer_->setPeers(Peers, Now); });
   }
-  // Changes frames on their way in; set before any peer is known.
-  std::function<void(wire::FrameT &)> Spoil_;
+  // Modifies incoming frames; set before any peer is known.
+  std::function<void(wire::FrameT &)> Corrupt_;
   std::string bytesOf(const Weights &W) {
     std::optional<std::string> Path;
     run([&](TimePoint) { Path = Transfer_->pathOf(W.version()); });
@@ -207,7 +209,7 @@
     Out << In.rdbuf();
     return Out.str();
   }
-  bool phaseIs(const std::string &Phase) {
+  bool isInPhase(const std::string &Phase) {
     std::string Found;
     run([&](TimePoint Now) {
       Found = Transfer_->status(Now).at("phase").as_string();
@@ -220,7 +222,7 @@
     return Out;
   }
   template <class Condition> void await(Condition C) {
-    auto End = std::chrono::steady_clock::now() + Patience;
+    auto End = std::chrono::steady_clock::now() + AwaitTimeout;
     while (!C()) {
       REQUIRE(std::chrono::steady_clock::now() < End);
       std::this_thread::sleep_for(Milliseconds(2));
@@ -234,7 +236,7 @@
 private:
   std::string Name_;
   std::string Zone_;
-  PeerAddress Own_;
+  PeerAddress OwnAddress_;
   ActorSystem System_;
   DecisionLoop Loop_;
   Metrics Metrics_;
@@ -242,14 +244,14 @@
   std::optional<WeightTransfer> Transfer_;
 };
 
-// Some agents that know each other, over two zones.
+// Several agents in two zones that know each other.
 struct FleetFixture : TransferFixture {
   explicit FleetFixture(std::size_t Count = 5) {
     for (std::size_t I = 0; I < Count; ++I)
       Agents_.push_back(std::make_unique<Agent>(
           *this, "vm-" + std::to_string(I), I % 2 == 0 ? "x" : "y"));
   }
-  void introduce() {
+  void connectAll() {
     std::vector<WeightPeer> All;
     for (auto &A : Agents_)
       All.push_back(A->peer());
@@ -273,7 +275,7 @@
 } // namespace
 
 TEST_CASE_METHOD(TransferFixture,
-                 "transfer from a healthy origin stages exactly the whole",
+                 "transfer from a healthy origin stages exactly its file",
                  "[weights]") {
   Agent A(*this, "a");
   A.want(V1_);
@@ -284,12 +286,12 @@
 TEST_CASE_METHOD(
     TransferFixture,
     "transfer, when the origin corrupts and truncates, stages only "
-    "right bytes",
+    "correct bytes",
     "[weights]") {
-  // A flipped bit on the way would give answers from weights nobody made. The
-  // origin flips a byte of each third answer and cuts short each fourth.
+  // A bit flipped in transit would make the engine answer from corrupt weights.
+  // The origin flips a byte of every third answer and truncates every fourth.
   int Answers = 0;
-  Origin_.Spoil_ = [&](HttpResponse &R) {
+  Origin_.Corrupt_ = [&](HttpResponse &R) {
     ++Answers;
     if (Answers % 3 == 0)
       R.Body_[R.Body_.size() / 2] ^= 1;
@@ -305,8 +307,8 @@
                  "transfer, when the manifest is replaced at the origin, fails "
                  "clearly and is retried",
                  "[weights]") {
-  // The declared version is V1, but its path already serves V2: staging V2
-  // under V1's name would mix versions. Once V1 is back the transfer goes on.
+  // V1 is declared, but its path already serves V2: staging V2 under V1's name
+  // would mix versions. Once the path serves V1 again the transfer continues.
   Origin_.set(V2_);
   Agent A(*this, "a");
   A.want(V1_);
@@ -319,12 +321,12 @@
 
 TEST_CASE_METHOD(TransferFixture,
                  "transfer, when a newer version is wanted midway, stages the "
-                 "newer one whole",
+                 "newer one completely",
                  "[weights]") {
-  // The origin goes down with V1 half fetched, then V2 is declared: no chunk
-  // of V1 may count towards V2.
+  // The origin fails with V1 half fetched, then V2 is declared: no chunk of V1
+  // may count towards V2.
   int Answers = 0;
-  Origin_.Spoil_ = [&](HttpResponse &R) {
+  Origin_.Corrupt_ = [&](HttpResponse &R) {
     if (++Answers > 5)
       R = {.Status_ = 503};
   };
@@ -333,7 +335,7 @@
   A.await([&] { return !A.failure().empty(); });
   {
     std::lock_guard Lock(Origin_.Mutex_);
-    Origin_.Spoil_ = nullptr;
+    Origin_.Corrupt_ = nullptr;
     Origin_.Weights_ = V2_;
   }
   A.want(V2_);
@@ -346,7 +348,7 @@
                  "the rest",
                  "[weights]") {
   int Answers = 0;
-  Origin_.Spoil_ = [&](HttpResponse &R) {
+  Origin_.Corrupt_ = [&](HttpResponse &R) {
     if (++Answers > 10)
       R = {.Status_ = 503};
   };
@@ -357,7 +359,7 @@
   }
   {
     std::lock_guard Lock(Origin_.Mutex_);
-    Origin_.Spoil_ = nullptr;
+    Origin_.Corrupt_ = nullptr;
   }
   Agent Second(*this, "a");
   Second.want(V1_);
@@ -366,11 +368,11 @@
 }
 
 TEST_CASE_METHOD(TransferFixture,
-                 "restarted agent, with a spoilt whole in its folder, fetches "
+                 "restarted agent, with a corrupt staged file, fetches "
                  "it again",
                  "[weights]") {
-  // A byte of the staged file changed while no agent ran (a host's bad memory,
-  // a stray writer). Counting the file by its name would load it.
+  // A byte of the staged file changed while no agent ran (faulty memory of the
+  // host, another writer). Trusting the file's name would load corrupt weights.
   std::string Path;
   {
     Agent First(*this, "a");
@@ -391,7 +393,7 @@
 TEST_CASE_METHOD(FleetFixture,
                  "fleet, with nothing failing, reads one copy from the origin",
                  "[weights]") {
-  introduce();
+  connectAll();
   wantAll(V1_, 1.1);
   awaitAll(V1_);
   REQUIRE(Origin_.BlobBytes_ == V1_.Blob_.size());
@@ -400,13 +402,13 @@
 TEST_CASE_METHOD(
     FleetFixture,
     "fleet, when one peer's chunks arrive corrupted or cut, stages "
-    "only right bytes within the budget",
+    "only correct bytes within the budget",
     "[weights]") {
-  // What vm-0 receives from peers is spoilt on the way, as by a bad cable: the
-  // engine must never be given such a chunk, and what vm-0 must fetch again
-  // counts against the origin's budget.
+  // Chunks that vm-0 receives from peers are corrupted in transit, as by a
+  // faulty cable: the engine must never be given such a chunk, and what vm-0
+  // fetches again counts against the origin's budget.
   int Replies = 0;
-  Agents_[0]->Spoil_ = [&](wire::FrameT &F) {
+  Agents_[0]->Corrupt_ = [&](wire::FrameT &F) {
     if (F.body.type != wire::Body::ChunkReply || ++Replies % 4 != 0)
       return;
     auto &Bytes = F.body.AsChunkReply()->bytes;
@@ -415,7 +417,7 @@
     else if (!Bytes.empty())
       Bytes[Bytes.size() / 2] ^= 1;
   };
-  introduce();
+  connectAll();
   wantAll(V1_, 2);
   awaitAll(V1_);
   REQUIRE(Replies >= 4);
@@ -426,13 +428,14 @@
                  "fleet, when VMs do not know of each other, keeps to the "
                  "origin budget",
                  "[weights]") {
-  // Right after a mass restart nobody has heard of anybody: each VM takes
-  // itself for the owner of every chunk. Without the ledger five VMs would
-  // read five copies; with it they get 1.3, and the rest once they meet.
+  // Right after a mass restart no VM knows of any other, and each considers
+  // itself the owner of every chunk. Without the ledger five VMs would read
+  // five copies from the origin; with it they read 1.3, and get the rest from
+  // each other once they are connected.
   wantAll(V1_, 1.3);
   std::this_thread::sleep_for(Seconds(2));
   REQUIRE(Origin_.BlobBytes_ <= 1.3 * V1_.Blob_.size());
-  introduce();
+  connectAll();
   awaitAll(V1_);
   REQUIRE(Origin_.BlobBytes_ <= 1.3 * V1_.Blob_.size());
 }
@@ -443,12 +446,12 @@
                  "[weights]") {
   {
     std::lock_guard Lock(Ledger_.Mutex_);
-    Ledger_.LoseAnswers_ = 4;
+    Ledger_.AnswersToLose_ = 4;
   }
   Ledger_.Down_ = true;
-  introduce();
+  connectAll();
   wantAll(V1_, 1.3);
-  Agents_[0]->await([&] { return !Agents_[0]->phaseIs("manifest"); });
+  Agents_[0]->await([&] { return !Agents_[0]->isInPhase("manifest"); });
   REQUIRE(Origin_.BlobBytes_ == 0);
   Ledger_.Down_ = false;
   awaitAll(V1_);
@@ -459,21 +462,21 @@
                  "fleet, when an owner dies in mid-transfer, stages without it "
                  "within the budget",
                  "[weights]") {
-  // vm-0 has read chunks that nobody else holds when it is killed. The next in
-  // order must read them again, and only it.
+  // vm-0 is killed after it has read chunks that no other VM holds. Only the
+  // next owner in order may read them again.
   std::atomic<int> Answers{0};
-  Origin_.Spoil_ = [&](HttpResponse &R) {
+  Origin_.Corrupt_ = [&](HttpResponse &R) {
     if (++Answers > 8)
       R = {.Status_ = 503};
   };
-  introduce();
+  connectAll();
   wantAll(V1_, 2);
   Agents_[0]->await([&] { return Answers > 8; });
   Agents_.erase(Agents_.begin());
-  introduce();
+  connectAll();
   {
     std::lock_guard Lock(Origin_.Mutex_);
-    Origin_.Spoil_ = nullptr;
+    Origin_.Corrupt_ = nullptr;
   }
   awaitAll(V1_);
   REQUIRE(Origin_.BlobBytes_ <= 2 * V1_.Blob_.size());
