--- a/fakes/EngineFake.cpp
+++ b/fakes/EngineFake.cpp
@@ -84,7 +84,7 @@
     return respondError(X, 400, "resumed after the end of the answer");
   Made->Answer_ = X;
   // The exchange holds this closure: it must not hold the request in turn.
-  X->onGone([Weak = std::weak_ptr(Made)] {
+  X->onDisconnect([Weak = std::weak_ptr(Made)] {
     if (auto Left = Weak.lock())
       Left->Gone_ = true;
   });
--- a/fakes/OriginFake.cpp
+++ b/fakes/OriginFake.cpp
@@ -91,7 +91,7 @@
   if (strikes(TruncateEvery_, Answers_))
     T->CutIn_ = T->Left_ / 2;
   T->Answer_->head(Range ? 206 : 200, std::move(Headers));
-  T->Answer_->onGone([T] { T->Gone_ = true; });
+  T->Answer_->onDisconnect([T] { T->Gone_ = true; });
   Transfers_.push_back(std::move(T));
   if (!Ticking_) {
     Ticking_ = true;
--- a/hawthornroad/runtime/Actor.cpp
+++ b/hawthornroad/runtime/Actor.cpp
@@ -16,7 +16,8 @@
   explicit SystemConfig(ActorSystem::Mode M) {
     if (M == ActorSystem::Mode::Manual)
       set("scheduler.policy", caf::atom("testing"));
-    // Decision actors have threads of their own; the pool only backs CAF.
+    // Decision actors are detached, each on a dedicated thread; only CAF
+    // itself uses the pool.
     set("scheduler.max-threads", 1);
   }
 };
@@ -60,15 +61,16 @@
 };
 
 namespace {
-// Shared by the actor's messages; owned by Actor, which outlives the actor
+// The message handlers share S. Actor owns it and outlives the CAF actor,
 // because its destructor waits for Stopped_.
 template <class StateT>
-caf::behavior coreBehavior(caf::event_based_actor *Self, StateT *S) {
+caf::behavior actorBehavior(caf::event_based_actor *Self, StateT *S) {
   Self->delayed_send(Self, S->Hooks_.TickPeriod_, TickAtom::value);
   Self->attach_functor([S] { S->Stopped_.set_value(); });
   return {
       [=](WakeAtom) {
-        // Cleared before draining: an event pushed later wakes again.
+        // Cleared before draining, so that an event pushed during the drain
+        // wakes the actor again.
         S->WakePending_.store(false, std::memory_order_release);
         if (S->Hooks_.OnWake_)
           S->Hooks_.OnWake_(Self->clock().now());
@@ -88,7 +90,7 @@
   State *S = State_.get();
   S->Manual_ = System.State_->Mode_ == ActorSystem::Mode::Manual;
   auto Init = [S](caf::event_based_actor *Self) -> caf::behavior {
-    return coreBehavior(Self, S);
+    return actorBehavior(Self, S);
   };
   if (S->Manual_)
     S->Handle_ = S->System_.spawn(Init);
--- a/hawthornroad/runtime/Actor.h
+++ b/hawthornroad/runtime/Actor.h
@@ -1,9 +1,9 @@
-// The decision duty of a daemon: one CAF actor on a thread of its own.
+// The decision thread of a daemon: one CAF actor on a dedicated thread.
 //
 // All decision modules of a process run inside it, so they need no locks.
-// Other threads put typed events into a Ring and call wake(); the actor then
-// runs OnWake, which drains the ring. OnTick runs every TickPeriod. Both are
-// told the time by CAF's actor clock, the only clock decisions ever see.
+// Other threads push typed events into a Ring and call wake(); the actor then
+// runs OnWake, which drains the ring. OnTick runs every TickPeriod. Both
+// receive the time of CAF's actor clock, the only clock that decisions use.
 //
 //   ActorSystem System;
 //   Ring<Event> Events(4096);
@@ -14,8 +14,8 @@
 //   Events.tryPush(std::move(E));
 //   Core.wake();
 //
-// wake() is cheap and coalesced: many calls before the actor runs make one
-// message. CAF is named only in Actor.cpp and in tests.
+// wake() is cheap and coalesced: all calls before the actor runs cause one
+// message. Only Actor.cpp and tests include CAF.
 
 #ifndef HAWTHORNROAD_RUNTIME_ACTOR_H
 #define HAWTHORNROAD_RUNTIME_ACTOR_H
@@ -28,8 +28,8 @@
 
 namespace hawthornroad {
 
-// Owns the CAF runtime of a process. With Manual, time stands still and actors
-// run only inside advance(): the clock of tests.
+// Owns the CAF runtime of a process. In Manual mode, meant for tests, the clock
+// moves and actors run only inside advance().
 class ActorSystem {
 public:
   enum class Mode { Threads, Manual };
@@ -40,8 +40,8 @@
   ActorSystem &operator=(const ActorSystem &) = delete;
 
   TimePoint now() const;
-  // Manual only: moves the clock by Step, runs all that falls due, then runs
-  // until no actor has a message left.
+  // Manual mode only: moves the clock by Step, runs everything that becomes due
+  // and continues until all mailboxes are empty.
   void advance(Duration Step);
 
 private:
@@ -60,7 +60,7 @@
   };
 
   Actor(ActorSystem &System, Hooks H);
-  // Stops the actor and waits until neither hook runs.
+  // Stops the actor and blocks until no hook is running.
   ~Actor();
   Actor(const Actor &) = delete;
   Actor &operator=(const Actor &) = delete;
--- a/hawthornroad/runtime/Admin.cpp
+++ b/hawthornroad/runtime/Admin.cpp
@@ -3,7 +3,7 @@
 namespace hawthornroad {
 
 namespace {
-// Operators send little; their connections are few.
+// Operators send small requests over few connections.
 constexpr HttpServer::Limits AdminLimits = {.MaxBody_ = 64 * 1024,
                                             .MaxConnections_ = 64};
 
--- a/hawthornroad/runtime/Admin.h
+++ b/hawthornroad/runtime/Admin.h
@@ -8,9 +8,9 @@
 //       .Routes_ = {{"POST", "/drain", [&](HttpRequest R, auto X) {...}}}});
 //   std::uint16_t Port = Admin.listen("127.0.0.1", 0);
 //
-// Ready_ and the routes run on the IoThread. StatusJson_ is answered later,
-// because what it tells lives inside the DecisionLoop; a loop that does not
-// take the question must call Done with what it can say.
+// Ready_ and the routes run on the IoThread. StatusJson_ is asynchronous,
+// because the state it reports belongs to the DecisionLoop. If the loop refuses
+// the work, the hook must call Done itself with what it knows.
 
 #ifndef HAWTHORNROAD_RUNTIME_ADMIN_H
 #define HAWTHORNROAD_RUNTIME_ADMIN_H
@@ -28,20 +28,20 @@
 
 class AdminServer {
 public:
-  // Takes a JSON text; call it once, from any thread.
+  // Receives JSON text. Thread-safe; must be called exactly once.
   using Reply = std::function<void(std::string)>;
   struct Route {
     std::string Method_;
-    // The whole path, without a query.
+    // The full path, without the query.
     std::string Path_;
     HttpServer::Handler Handler_;
   };
   struct Hooks {
-    // Whether the process can serve now: /readyz says 200 or 503.
+    // Whether the process can serve now: /readyz returns 200 or 503.
     std::function<bool()> Ready_;
     std::function<void(Reply)> StatusJson_;
     std::vector<Route> Routes_;
-    // Sets gauges that are read only when somebody asks; may be empty.
+    // Updates gauges that are computed only on a scrape; may be empty.
     std::function<void()> BeforeMetrics_;
   };
 
@@ -50,7 +50,7 @@
   AdminServer(const AdminServer &) = delete;
   AdminServer &operator=(const AdminServer &) = delete;
 
-  // Port 0 lets the kernel choose. Throws Error(Step::Listen).
+  // With port 0 the kernel picks a free port. Throws Error(Step::Listen).
   std::uint16_t listen(const std::string &Ip, std::uint16_t Port);
 
 private:
--- a/hawthornroad/runtime/AgentCore.cpp
+++ b/hawthornroad/runtime/AgentCore.cpp
@@ -209,7 +209,7 @@
 // run, whatever the entries still believe.
 void AgentCore::refresh(TimePoint Now) {
   EndpointStatus Fresh = endpointStatus(Status_, sources());
-  bool News = isNews(Fresh, Status_);
+  bool News = isUrgent(Fresh, Status_);
   Status_ = std::move(Fresh);
   Attempts_.setEndpoint(endpointFacts(Status_, service()));
   if (News || Now - PublishedAt_ >= Setup_.Settings_.ReportPeriod_)
--- a/hawthornroad/runtime/BootClock.h
+++ b/hawthornroad/runtime/BootClock.h
@@ -1,9 +1,12 @@
-// The time that decisions of store-based processes see: steady, and counting on
-// while the machine is suspended.
+// The decision clock of store-based processes: monotonic, and running while the
+// machine is suspended.
 //
-// The steady clock stands still during a suspension. A process that wakes up
-// would take an old lease, deadline or kept connection for fresh; with this
-// clock they are over at its first look. It is comparable on one machine only.
+//   TimePoint Now = bootNow();
+//
+// The steady clock stops during a suspension, so a resumed process would treat
+// an old lease, deadline or kept-alive connection as still valid. With this
+// clock they have expired at the first check. Values are comparable only within
+// one machine.
 
 #ifndef HAWTHORNROAD_RUNTIME_BOOTCLOCK_H
 #define HAWTHORNROAD_RUNTIME_BOOTCLOCK_H
--- a/hawthornroad/runtime/CallerApi.cpp
+++ b/hawthornroad/runtime/CallerApi.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 constexpr unsigned StatusBadRequest = 400;
-// Bytes of the prompt that two requests must share to be worth one endpoint.
+// Length of the prompt prefix, in bytes, that two requests must share to be
+// routed to the same endpoint.
 constexpr std::size_t PrefixBytes = 256;
 
 std::string lower(std::string_view Text) {
@@ -25,19 +26,20 @@
   return Out;
 }
 
-// Headers that end at this entry: those of one connection, and our own.
-bool staysHere(const std::string &Name) {
+// Headers that are not forwarded: hop-by-hop headers and Hawthornroad's own.
+bool isLocalHeader(const std::string &Name) {
   static constexpr std::array<std::string_view, 10> HopNames = {
       "connection",      "content-length", "transfer-encoding",
       "keep-alive",      "host",           "te",
       "trailer",         "upgrade",        "expect",
       "proxy-connection"};
-  std::string Low = lower(Name);
-  return Low.rfind("hawthornroad-", 0) == 0 || Low.rfind("engine-", 0) == 0 ||
-         std::find(HopNames.begin(), HopNames.end(), Low) != HopNames.end();
+  std::string Lowered = lower(Name);
+  return Lowered.rfind("hawthornroad-", 0) == 0 ||
+         Lowered.rfind("engine-", 0) == 0 ||
+         std::find(HopNames.begin(), HopNames.end(), Lowered) != HopNames.end();
 }
 
-Problem bad(std::string Cause, std::string Detail) {
+Problem badRequest(std::string Cause, std::string Detail) {
   Problem P;
   P.Status_ = StatusBadRequest;
   P.Cause_ = std::move(Cause);
@@ -45,13 +47,13 @@
   return P;
 }
 
-// Names of services and customers become parts of the table's keys.
+// Service and customer names become parts of the keys in the platform's table.
 bool isName(std::string_view Text, std::size_t MaxSize) {
-  auto Fits = [](unsigned char C) {
+  auto IsAllowed = [](unsigned char C) {
     return std::isalnum(C) != 0 || C == '-' || C == '_' || C == '.';
   };
   return !Text.empty() && Text.size() <= MaxSize &&
-         std::all_of(Text.begin(), Text.end(), Fits);
+         std::all_of(Text.begin(), Text.end(), IsAllowed);
 }
 
 bool isPrintable(std::string_view Text) {
@@ -68,7 +70,8 @@
   return Value;
 }
 
-// Requests whose prompts begin alike share an endpoint's prefix cache.
+// Requests whose prompts start with the same bytes can share the prefix cache
+// of an endpoint.
 std::uint64_t prefixHash(const std::string &Body) {
   for (std::string_view Key : {"\"messages\"", "\"prompt\""}) {
     std::size_t At = Body.find(Key);
@@ -103,36 +106,39 @@
       std::chrono::duration_cast<Milliseconds>(Limits.MaxDeadline_).count();
   std::optional<std::int64_t> Value = parseNumber(*Text);
   if (!Value || *Value < 1 || *Value > Max)
-    return bad("bad_deadline",
-               "Hawthornroad-Deadline-Ms must be 1 to " + std::to_string(Max));
+    return badRequest("bad_deadline", "Hawthornroad-Deadline-Ms must be 1 to " +
+                                          std::to_string(Max));
   Out.Deadline_ = Out.ArrivedAt_ + Milliseconds(*Value);
   return std::nullopt;
 }
 
-std::optional<Problem> readMarks(const HttpHeaders &Headers,
-                                 const CallerLimits &Limits,
-                                 CallerRequest &Out) {
-  auto Who = findHeader(Headers, "Hawthornroad-Customer");
-  if (!Who || !isName(*Who, Limits.MaxName_))
-    return bad("missing_customer",
-               "Hawthornroad-Customer must name a customer");
-  Out.Customer_ = Customer(*Who);
+std::optional<Problem> readRequestHeaders(const HttpHeaders &Headers,
+                                          const CallerLimits &Limits,
+                                          CallerRequest &Out) {
+  auto CustomerName = findHeader(Headers, "Hawthornroad-Customer");
+  if (!CustomerName || !isName(*CustomerName, Limits.MaxName_))
+    return badRequest("missing_customer",
+                      "Hawthornroad-Customer must name a customer");
+  Out.Customer_ = Customer(*CustomerName);
   Out.IdempotencyKey_ = findHeader(Headers, "Idempotency-Key").value_or("");
   if (Out.IdempotencyKey_.size() > Limits.MaxKey_ ||
       !isPrintable(Out.IdempotencyKey_))
-    return bad("bad_key", "Idempotency-Key must be printable and at most " +
-                              std::to_string(Limits.MaxKey_) + " bytes");
-  std::string Again =
+    return badRequest("bad_key",
+                      "Idempotency-Key must be printable and at most " +
+                          std::to_string(Limits.MaxKey_) + " bytes");
+  std::string RepeatableText =
       lower(findHeader(Headers, "Hawthornroad-Repeatable").value_or("yes"));
-  if (Again != "yes" && Again != "no")
-    return bad("bad_repeatable", "Hawthornroad-Repeatable must be yes or no");
-  Out.Repeatable_ = Again == "yes";
-  std::string Class =
+  if (RepeatableText != "yes" && RepeatableText != "no")
+    return badRequest("bad_repeatable",
+                      "Hawthornroad-Repeatable must be yes or no");
+  Out.Repeatable_ = RepeatableText == "yes";
+  std::string PriorityText =
       lower(findHeader(Headers, "Hawthornroad-Priority").value_or("normal"));
-  Out.Priority_ = parsePriority(Class);
-  if (toString(Out.Priority_) != Class)
-    return bad("bad_priority",
-               "Hawthornroad-Priority must be interactive, normal or batch");
+  Out.Priority_ = parsePriority(PriorityText);
+  if (toString(Out.Priority_) != PriorityText)
+    return badRequest(
+        "bad_priority",
+        "Hawthornroad-Priority must be interactive, normal or batch");
   return readDeadline(Headers, Limits, Out);
 }
 
@@ -150,24 +156,26 @@
   Out.ArrivedAt_ = Now;
   if (!splitTarget(R.Target_, Out) ||
       !isName(Out.Service_.str(), Limits.MaxName_))
-    return bad("bad_path", "the path must be /{service}/{rest}");
-  if (std::optional<Problem> P = readMarks(R.Headers_, Limits, Out))
+    return badRequest("bad_path", "the path must be /{service}/{rest}");
+  if (std::optional<Problem> P = readRequestHeaders(R.Headers_, Limits, Out))
     return *P;
   Out.Method_ = std::move(R.Method_);
   for (HttpHeader &Each : R.Headers_)
-    if (!staysHere(Each.Name_))
+    if (!isLocalHeader(Each.Name_))
       Out.Headers_.push_back({std::move(Each.Name_), std::move(Each.Value_)});
   Out.Body_ = std::move(R.Body_);
   Out.PrefixHash_ = prefixHash(Out.Body_);
   return Out;
 }
 
-void addMark(HttpHeaders &Headers, const ResponseMark &Mark, Outcome O) {
+void addMetadata(HttpHeaders &Headers, const ResponseMetadata &Metadata,
+                 Outcome O) {
   Headers.push_back({"Hawthornroad-Outcome", toText(toString(O))});
-  Headers.push_back({"Hawthornroad-Request", Mark.Request_.str()});
-  Headers.push_back({"Hawthornroad-Revision", std::to_string(Mark.Revision_)});
-  if (!Mark.Version_.empty())
-    Headers.push_back({"Hawthornroad-Version", Mark.Version_.str()});
+  Headers.push_back({"Hawthornroad-Request", Metadata.Request_.str()});
+  Headers.push_back(
+      {"Hawthornroad-Revision", std::to_string(Metadata.Revision_)});
+  if (!Metadata.Version_.empty())
+    Headers.push_back({"Hawthornroad-Version", Metadata.Version_.str()});
 }
 
 std::string problemText(const Problem &P, RequestId Id) {
@@ -185,17 +193,18 @@
   return boost::json::serialize(Out);
 }
 
-HttpResponse problemResponse(const Problem &P, const ResponseMark &Mark) {
+HttpResponse problemResponse(const Problem &P,
+                             const ResponseMetadata &Metadata) {
   HttpResponse Out;
   Out.Status_ = P.Status_;
   Out.Headers_.push_back({"Content-Type", "application/problem+json"});
-  addMark(Out.Headers_, Mark, P.Outcome_);
+  addMetadata(Out.Headers_, Metadata, P.Outcome_);
   if (P.RetryAfter_ > Duration::zero()) {
     std::int64_t Ms = wholeMilliseconds(P.RetryAfter_);
     Out.Headers_.push_back({"Retry-After", std::to_string((Ms + 999) / 1000)});
     Out.Headers_.push_back({"Hawthornroad-Retry-After-Ms", std::to_string(Ms)});
   }
-  Out.Body_ = problemText(P, Mark.Request_);
+  Out.Body_ = problemText(P, Metadata.Request_);
   return Out;
 }
 
--- a/hawthornroad/runtime/CallerApi.h
+++ b/hawthornroad/runtime/CallerApi.h
@@ -1,13 +1,13 @@
-// The HTTP face of an entry: from a caller's request to a CallerRequest, and
-// from a Problem to a response.
+// The HTTP interface of an entry to callers: parses an HTTP request into a
+// CallerRequest and turns a Problem into an HTTP response.
 //
 //   ParsedCall P = parseCall(std::move(Http), Id, Limits, Now);
 //   if (auto *Bad = std::get_if<Problem>(&P))
-//     X->respond(problemResponse(*Bad, Mark));
+//     X->respond(problemResponse(*Bad, Metadata));
 //
 // POST /copywriter-lm/v1/completions with Hawthornroad-Customer: hp-travel is a
-// call of /v1/completions at service copywriter-lm. What a caller may send and
-// gets back stands in ../../docs/design/requests.md.
+// call of /v1/completions on the service copywriter-lm. What a caller may send
+// and receives is specified in ../../docs/design/requests.md.
 
 #ifndef HAWTHORNROAD_RUNTIME_CALLERAPI_H
 #define HAWTHORNROAD_RUNTIME_CALLERAPI_H
@@ -28,22 +28,26 @@
 
 using ParsedCall = std::variant<CallerRequest, Problem>;
 
-// Repeatable_ tells only what the caller said; the declaration may forbid more.
+// Repeatable_ holds only the caller's choice; the declaration may restrict it
+// further.
 ParsedCall parseCall(HttpRequest R, RequestId Id, const CallerLimits &Limits,
                      TimePoint Now);
 
-// What every response says of its request.
-struct ResponseMark {
+// Metadata of the request that every response carries.
+struct ResponseMetadata {
   RequestId Request_;
   Revision Revision_ = 0;
   VersionDigest Version_;
 };
 
 // The headers Hawthornroad-Outcome, -Request, -Revision and -Version.
-void addMark(HttpHeaders &Headers, const ResponseMark &Mark, Outcome O);
-// application/problem+json, with Retry-After where coming back helps.
-HttpResponse problemResponse(const Problem &P, const ResponseMark &Mark);
-// The problem as one JSON object, also the last event of a broken stream.
+void addMetadata(HttpHeaders &Headers, const ResponseMetadata &Metadata,
+                 Outcome O);
+// Builds application/problem+json, with Retry-After where a retry can succeed.
+HttpResponse problemResponse(const Problem &P,
+                             const ResponseMetadata &Metadata);
+// The problem as one JSON object; also sent as the last event of a stream that
+// fails.
 std::string problemText(const Problem &P, RequestId Id);
 
 HttpHeaders toHttp(const HeaderFields &Fields);
--- a/hawthornroad/runtime/ClaimTable.cpp
+++ b/hawthornroad/runtime/ClaimTable.cpp
@@ -10,7 +10,8 @@
 constexpr unsigned StatusNotFound = 404;
 constexpr unsigned StatusPreconditionFailed = 412;
 
-// Keys hold callers' text; the path must hold none of its delimiters.
+// Percent-encodes the key, except for '/': keys contain text from callers, and
+// the path must contain no other delimiter.
 std::string tablePath(const std::string &Key) {
   static constexpr char Digits[] = "0123456789ABCDEF";
   std::string Out = "/table/";
@@ -30,9 +31,9 @@
 
 using Kind = ClaimCallResult::Kind;
 
-// Any status but the documented ones says nothing of whether a write took
-// effect.
-Kind kindOf(const HttpRequest &R, unsigned Status) {
+// An undocumented status does not tell whether a write took effect, so it
+// counts as unanswered.
+Kind answerKind(const HttpRequest &R, unsigned Status) {
   bool IsRead = R.Method_ == "GET";
   if (Status == StatusOk || Status == StatusCreated)
     return IsRead ? Kind::Found : Kind::Written;
@@ -84,7 +85,7 @@
     if (!Result.Response_) {
       Answer.Kind_ = Result.Sent_ ? Kind::Unanswered : Kind::Unsent;
     } else {
-      Answer.Kind_ = kindOf(R, Result.Response_->Status_);
+      Answer.Kind_ = answerKind(R, Result.Response_->Status_);
       Answer.Etag_ =
           findHeader(Result.Response_->Headers_, "ETag").value_or("");
       Answer.Value_ = std::move(Result.Response_->Body_);
--- a/hawthornroad/runtime/ClaimTable.h
+++ b/hawthornroad/runtime/ClaimTable.h
@@ -1,8 +1,7 @@
-// Carries out ClaimCore's calls to the platform's table over HTTP.
+// Executes ClaimCore's calls to the platform's table over HTTP.
 //
 //   ClaimTable Table(Client, "127.0.0.1:9000", Seconds(2),
-//                    [&](ClaimCallResult A) {...});   // on the client's
-//                    IoThread
+//                    [&](auto Result) {...});  // on the client's IoThread
 //   Table.run(ClaimWrite{...});
 
 #ifndef HAWTHORNROAD_RUNTIME_CLAIMTABLE_H
@@ -23,7 +22,7 @@
   ClaimTable(HttpClient &Client, std::string Address, Duration Timeout,
              OnAnswer Handler);
 
-  // Each call is answered exactly once.
+  // The handler is called exactly once for each call.
   void run(const ClaimWrite &W);
   void run(const ClaimRead &R);
 
--- a/hawthornroad/runtime/Daemon.cpp
+++ b/hawthornroad/runtime/Daemon.cpp
@@ -26,11 +26,11 @@
   return Set;
 }
 
-// Before any other thread starts, so that all inherit the mask.
+// Must run before any other thread starts, so that all inherit the mask.
 void blockStopSignals() {
   sigset_t Set = stopSignals();
   pthread_sigmask(SIG_BLOCK, &Set, nullptr);
-  // A peer that closes while it is written to is an ordinary error code.
+  // A write to a connection that the peer closed returns an error code instead.
   std::signal(SIGPIPE, SIG_IGN);
 }
 
@@ -55,17 +55,17 @@
   bool Check_ = false;
 };
 
-// Nullopt when --help or --version was answered. Throws po::error.
+// Returns nullopt after handling --help or --version. Throws po::error.
 std::optional<CommandLine> parseCommandLine(int Argc, char **Argv,
                                             const DaemonProgram &Program) {
-  CommandLine Made;
+  CommandLine Parsed;
   po::options_description Options("options");
   auto Add = Options.add_options();
   Add("help,h", "print this and exit");
   Add("version", "print the version and exit");
-  Add("settings", po::value(&Made.Settings_)->value_name("FILE"),
+  Add("settings", po::value(&Parsed.Settings_)->value_name("FILE"),
       "settings, JSON with comments (required)");
-  Add("check", po::bool_switch(&Made.Check_),
+  Add("check", po::bool_switch(&Parsed.Check_),
       "check the settings and state charts, then exit");
   po::variables_map Values;
   po::store(po::parse_command_line(Argc, Argv, Options), Values);
@@ -80,12 +80,13 @@
     std::cout << Program.Name_ << " " << HAWTHORNROAD_VERSION << "\n";
     return std::nullopt;
   }
-  if (Made.Settings_.empty())
+  if (Parsed.Settings_.empty())
     throw po::error("--settings FILE is required");
-  return Made;
+  return Parsed;
 }
 
-int complain(const DaemonProgram &Program, const std::string &What, int Code) {
+int reportError(const DaemonProgram &Program, const std::string &What,
+                int Code) {
   std::cerr << Program.Name_ << ": " << What << std::endl;
   return Code;
 }
@@ -111,28 +112,30 @@
   try {
     Line = parseCommandLine(Argc, Argv, Program);
   } catch (const po::error &E) {
-    return complain(Program, E.what(), ExitUsage);
+    return reportError(Program, E.what(), ExitUsage);
   }
   if (!Line)
     return ExitOk;
   try {
     Program.Check_(Line->Settings_);
   } catch (const std::exception &E) {
-    return complain(Program, E.what(), ExitUsage);
+    return reportError(Program, E.what(), ExitUsage);
   }
   if (Line->Check_)
     return ExitOk;
   blockStopSignals();
-  // Outlives main: the watching thread is detached.
+  // Static, because the detached signal thread may outlive main().
   static StopSignal Stop;
   std::function<void()> Reload;
   if (Program.Reload_)
-    Reload = [Do = Program.Reload_, File = Line->Settings_] { Do(File); };
+    Reload = [Action = Program.Reload_, File = Line->Settings_] {
+      Action(File);
+    };
   std::thread(watchSignals, std::ref(Stop), std::move(Reload)).detach();
   try {
     Program.Run_(Line->Settings_, Stop);
   } catch (const std::exception &E) {
-    return complain(Program, E.what(), ExitFailure);
+    return reportError(Program, E.what(), ExitFailure);
   }
   return ExitOk;
 }
--- a/hawthornroad/runtime/Daemon.h
+++ b/hawthornroad/runtime/Daemon.h
@@ -1,5 +1,5 @@
-// What all daemons share: the command line, signals, exit codes, the ready
-// line.
+// The common part of all daemons: command line, signals, exit codes and the
+// ready line.
 //
 //   int main(int Argc, char **Argv) {
 //     return runDaemon(Argc, Argv,
@@ -14,9 +14,10 @@
 //                       }});
 //   }
 //
-// SIGTERM and SIGINT are blocked in every thread and taken by one of their own,
-// so no handler interrupts anything. The first makes Stop.wait() return; a
-// second ends the process at once. SIGHUP asks for Reload_.
+// SIGTERM, SIGINT and SIGHUP are blocked in every thread and received by a
+// dedicated one, so no signal handler interrupts other code. The first SIGTERM
+// or SIGINT makes Stop.wait() return; a second ends the process at once. SIGHUP
+// runs Reload_.
 
 #ifndef HAWTHORNROAD_RUNTIME_DAEMON_H
 #define HAWTHORNROAD_RUNTIME_DAEMON_H
@@ -29,15 +30,16 @@
 
 namespace hawthornroad {
 
-// A planned stop ends with Ok; a second signal with Killed (128 + SIGTERM).
+// A planned stop exits with Ok, a second stop signal with Killed (128 +
+// SIGTERM).
 enum ExitCode { ExitOk = 0, ExitFailure = 1, ExitUsage = 2, ExitKilled = 143 };
 
-// Tells the main thread that the process shall stop.
+// Tells the main thread to stop the process.
 class StopSignal {
 public:
-  // Blocks until a stop is asked for.
+  // Blocks until a stop is requested.
   void wait();
-  // Thread-safe; true when this was the first request.
+  // Thread-safe. Returns true for the first request.
   bool request();
 
 private:
@@ -50,21 +52,21 @@
   std::string Name_;
   // One line for --help.
   std::string Purpose_;
-  // Loads settings and charts; throws Error when any is at fault.
+  // Loads settings and charts; throws Error when one is invalid.
   std::function<void(const std::string &File)> Check_;
-  // SIGHUP: the settings file may have changed. Runs on the signal thread. When
-  // empty the signal is taken and ignored.
+  // Runs on the signal thread at SIGHUP, when the settings file may have
+  // changed. When empty, SIGHUP is ignored.
   std::function<void(const std::string &File)> Reload_;
-  // Runs the process until Stop and its planned stop are through.
+  // Runs the process until Stop is requested and the planned stop is complete.
   std::function<void(const std::string &File, StopSignal &Stop)> Run_;
 };
 
-// --help, --version, --settings FILE, --check. Check_ runs before Run_ always,
-// so that a bad setting never starts a daemon half-way. Returns an ExitCode;
-// errors go to standard error.
+// Handles --help, --version, --settings FILE and --check. Check_ always runs
+// before Run_, so that an invalid setting never leaves a daemon half started.
+// Returns an ExitCode; errors go to standard error.
 int runDaemon(int Argc, char **Argv, const DaemonProgram &Program);
 
-// One line of JSON on standard output, flushed.
+// Prints one line of JSON on standard output and flushes it.
 void printReady(const boost::json::object &Line);
 
 } // namespace hawthornroad
--- a/hawthornroad/runtime/DecisionLoop.cpp
+++ b/hawthornroad/runtime/DecisionLoop.cpp
@@ -22,12 +22,12 @@
 }
 
 void DecisionLoop::onTick(Work W) {
-  // Ticks_ belongs to the actor's thread.
+  // Ticks_ is accessed only on the actor's thread.
   post([this, W = std::move(W)](TimePoint) { Ticks_.push_back(W); });
 }
 
 void DecisionLoop::drain(TimePoint Now) {
-  // As many as were there at the start, so that ticks get their turn.
+  // Runs only the items queued at the start, so that ticks are not starved.
   for (std::size_t Left = Ring_.size(); Left > 0; --Left) {
     std::optional<Work> Next = Ring_.tryPop();
     if (!Next)
--- a/hawthornroad/runtime/DecisionLoop.h
+++ b/hawthornroad/runtime/DecisionLoop.h
@@ -1,13 +1,13 @@
-// The thread on which a process decides: an Actor fed through a bounded ring.
+// The decision thread of a process: an Actor fed through a bounded ring.
 //
 //   ActorSystem System;
 //   DecisionLoop Loop(System, "decisions", Milliseconds(20), 16384);
 //   Loop.onTick([&](TimePoint Now) { Core.tick(Now); });
 //   if (!Loop.post([=](TimePoint Now) { Core.handle(E, Now); }))
-//     ...  // full: answer "not-run", or let the peer send again
+//     ...  // full: answer "not-run", or rely on the peer to resend
 //
-// Every decision module of the process is touched only inside post() and
-// onTick() closures, so none needs a lock.
+// Decision modules are accessed only inside closures passed to post() and
+// onTick(), so none needs a lock.
 
 #ifndef HAWTHORNROAD_RUNTIME_DECISIONLOOP_H
 #define HAWTHORNROAD_RUNTIME_DECISIONLOOP_H
@@ -29,9 +29,10 @@
   DecisionLoop(ActorSystem &System, std::string Name, Duration TickPeriod,
                std::size_t Capacity);
 
-  // Thread-safe. False when the ring is full; W is then not run.
+  // Thread-safe. Returns false when the ring is full; W is then not run.
   bool post(Work W);
-  // Adds work for every tick. Call before the first post(), or inside work.
+  // Adds work to run at every tick. Call before the first post(), or inside
+  // posted work.
   void onTick(Work W);
   std::size_t backlog() const { return Ring_.size(); }
 
@@ -40,7 +41,8 @@
 
   Ring<Work> Ring_;
   std::vector<Work> Ticks_;
-  // Last: its destructor waits until the closures above are no longer used.
+  // Declared last: its destructor waits until the closures above are no longer
+  // in use.
   Actor Actor_;
 };
 
--- a/hawthornroad/runtime/Deflate.cpp
+++ b/hawthornroad/runtime/Deflate.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 constexpr int FastestLevel = 1;
-// A quarter of the usual memory: windows of 8 KB hold some 30 routes, and
-// routes resemble their neighbours.
+// A quarter of the usual memory: an 8 KB window holds about 30 routes, and
+// neighbouring routes resemble each other.
 constexpr int WindowBits = 13;
 constexpr int MemoryLevel = 6;
 } // namespace
@@ -34,21 +34,21 @@
   return Out;
 }
 
-std::string inflate(std::string_view Short, std::size_t Length) {
+std::string inflate(std::string_view Compressed, std::size_t Length) {
   if (Length > MaxInflated)
-    throw Error(Step::Receive, "", "inflate: the text is too long");
+    throw Error(Step::Receive, "",
+                "inflate: declared length exceeds the limit");
   zlib::inflate_stream Stream;
-  // The largest window, for the sender's choice is not told.
+  // The largest window, because the sender's window size is not transmitted.
   constexpr int MaxWindowBits = 15;
   Stream.reset(MaxWindowBits);
-  // One byte more shows a text that is longer than told.
+  // One extra byte reveals a text longer than declared.
   std::string Out(Length + 1, '\0');
-  // Beast's reader does not see the end of a stream that fills its last byte:
-  // one in two hundred texts counted as cut short (4,000 tried). Bytes after
-  // the end let it look on; it may take one of them for part of the stream, no
-  // more.
+  // Beast's inflate does not detect the end of a stream that fills its last
+  // byte: one text in two hundred (of 4,000) was reported as truncated. Padding
+  // after the end lets it read on; it may consume at most one padding byte.
   constexpr std::size_t Lookahead = 4;
-  std::string Padded(Short);
+  std::string Padded(Compressed);
   Padded.append(Lookahead, '\0');
   zlib::z_params P;
   P.next_in = Padded.data();
@@ -59,13 +59,14 @@
   Stream.write(P, zlib::Flush::sync, Code);
   if (Code != zlib::error::end_of_stream)
     throw Error(Step::Receive, "",
-                "inflate: " + (Code ? Code.message() : "cut short") +
+                "inflate: " + (Code ? Code.message() : "truncated") +
                     " after " + std::to_string(P.total_out) + " of " +
                     std::to_string(Length) + " bytes, from " +
                     std::to_string(P.total_in) + " of " +
-                    std::to_string(Short.size()));
-  if (P.total_out != Length || P.total_in > Short.size() + 1)
-    throw Error(Step::Receive, "", "inflate: not of the length told");
+                    std::to_string(Compressed.size()));
+  if (P.total_out != Length || P.total_in > Compressed.size() + 1)
+    throw Error(Step::Receive, "",
+                "inflate: length differs from the declared one");
   Out.resize(Length);
   return Out;
 }
--- a/hawthornroad/runtime/Deflate.h
+++ b/hawthornroad/runtime/Deflate.h
@@ -1,10 +1,10 @@
-// Texts made shorter for the way between processes, by Beast's zlib.
+// Compresses text sent between processes, with Beast's zlib.
 //
 //   std::string Short = deflate(Text);
 //   std::string Text = inflate(Short, Length);  // throws Error(Step::Receive)
 //
-// A configuration is JSON that repeats its names for each route: 336 KB become
-// a fifth at most (tests/unit/DeflateTest.cpp).
+// A configuration is JSON that repeats its field names for each route: 336 KB
+// shrink to a fifth or less (tests/unit/DeflateTest.cpp).
 
 #ifndef HAWTHORNROAD_RUNTIME_DEFLATE_H
 #define HAWTHORNROAD_RUNTIME_DEFLATE_H
@@ -15,14 +15,14 @@
 
 namespace hawthornroad {
 
-// Raw deflate, at the fastest level: the time of the work counts more here than
-// the last bytes.
+// Raw deflate at the fastest level: CPU time matters more here than the best
+// compression ratio.
 std::string deflate(std::string_view Text);
 
-// Length: of the text, which is what bounds the memory taken; more or fewer
-// bytes are an error, and so is a length above MaxInflated.
+// Length is the size of the original text and bounds the memory used. Throws
+// when the result has any other size, or when Length exceeds MaxInflated.
 inline constexpr std::size_t MaxInflated = 16 * 1024 * 1024;
-std::string inflate(std::string_view Short, std::size_t Length);
+std::string inflate(std::string_view Compressed, std::size_t Length);
 
 } // namespace hawthornroad
 
--- a/hawthornroad/runtime/EndpointView.cpp
+++ b/hawthornroad/runtime/EndpointView.cpp
@@ -54,7 +54,7 @@
   return Status;
 }
 
-bool isNews(const EndpointStatus &New, const EndpointStatus &Old) {
+bool isUrgent(const EndpointStatus &New, const EndpointStatus &Old) {
   EndpointStatus Same = New;
   Same.Sequence_ = Old.Sequence_;
   Same.Running_ = Old.Running_;
@@ -70,8 +70,8 @@
   Facts.Phase_ = Status.Phase_;
   Facts.Version_ = Status.Version_;
   Facts.Capacity_ = Status.Capacity_;
-  // Half of a plain service's calls are shorter than their mean, so it bounds
-  // nothing; an engine never answers in less than one step.
+  // An engine never answers in less than one step. The mean time of a plain
+  // service is no lower bound: half of its calls are shorter.
   if (Facts.IsModel_)
     Facts.Step_ = std::chrono::duration_cast<Duration>(
         std::chrono::duration<double, std::milli>(Status.StepMs_));
--- a/hawthornroad/runtime/EndpointView.h
+++ b/hawthornroad/runtime/EndpointView.h
@@ -1,10 +1,11 @@
-// What an agent says of its endpoint, put together from its parts.
+// Builds the endpoint status that an agent publishes from the state of its
+// components.
 //
 //   EndpointStatus S = endpointStatus(Identity, Sources);
-//   if (isNews(S, LastPublished)) Control.publish(S, Now);
+//   if (isUrgent(S, LastPublished)) Control.publish(S, Now);
 //   Attempts.setEndpoint(endpointFacts(S, Service));
 //
-// Pure functions: the composition decides nothing beyond them.
+// Pure functions; callers add no decisions of their own.
 
 #ifndef HAWTHORNROAD_RUNTIME_ENDPOINTVIEW_H
 #define HAWTHORNROAD_RUNTIME_ENDPOINTVIEW_H
@@ -16,11 +17,11 @@
 
 namespace hawthornroad {
 
-// The state of an agent's parts at one moment.
+// A snapshot of the state of an agent's components.
 struct EndpointSources {
   // The declared service of this VM; null when there is none.
   const Service *Service_ = nullptr;
-  // Whether the newest configuration in reach is applied.
+  // Whether the newest reachable configuration is applied.
   bool IsCaughtUp_ = false;
   bool IsLeaving_ = false;
   bool HasLeft_ = false;
@@ -28,7 +29,7 @@
   VersionDigest Version_;
   EngineLoad Load_;
   std::string EngineDetail_;
-  // Capacity from the settings, for an engine that names none.
+  // Capacity from the settings, for an engine that reports none.
   std::size_t DefaultCapacity_ = 1;
   std::size_t Running_ = 0;
   std::vector<VersionDigest> Staged_;
@@ -36,12 +37,13 @@
   VersionDigest FailedVersion_;
 };
 
-// Fills in all but identity, addresses and sequence of Identity.
+// Fills in everything except identity, addresses and sequence, which are taken
+// from Identity.
 EndpointStatus endpointStatus(EndpointStatus Identity,
                               const EndpointSources &From);
-// Whether New differs from Old in more than its sequence and its load, and so
-// must be told at once; load is told periodically.
-bool isNews(const EndpointStatus &New, const EndpointStatus &Old);
+// Whether New differs from Old in more than sequence and load and must be
+// published at once; load is published periodically.
+bool isUrgent(const EndpointStatus &New, const EndpointStatus &Old);
 EndpointFacts endpointFacts(const EndpointStatus &Status, const Service *S);
 
 } // namespace hawthornroad
--- a/hawthornroad/runtime/EntryActions.cpp
+++ b/hawthornroad/runtime/EntryActions.cpp
@@ -22,17 +22,18 @@
   }
 }
 
-// The marker tells the peers' thread which begins it has put on a connection.
-// It is one step with the frame: as a task of its own it could come after the
-// refusal of the frame's dial, which then named no attempt, and a request that
-// never left was called "unknown" once its VM was gone.
+// Mark records on the peers' thread which begin frames were put on a
+// connection. It runs in the same task as the send. As a separate task it could
+// run after the frame's connect was refused; the loss then named no attempt,
+// and a request that was never sent got the outcome "unknown" once its VM was
+// gone.
 void EntryProcess::State::perform(const BeginAttempt &A, TimePoint Now) {
   auto Mark = [this, Number = A.Number_] { BegunUpTo_ = Number; };
   if (!Net_->send(A.Address_, Lane::Requests, toFrame(A), Mark)) {
     run(Core_.notSent(A.Attempt_, Now), Now);
     return;
   }
-  log(LogLevel::Debug, Step::Dispatch, "attempt begun",
+  log(LogLevel::Debug, Step::Dispatch, "attempt started",
       {{"request", A.Request_->Id_.str()},
        {"attempt", A.Attempt_.str()},
        {"peer", A.Address_.str()}});
@@ -63,26 +64,30 @@
   return Found == Exchanges_.end() ? nullptr : Found->second.get();
 }
 
-ResponseMark EntryProcess::State::mark(RequestId Id,
-                                       const VersionDigest &Version) const {
+ResponseMetadata
+EntryProcess::State::responseMetadata(RequestId Id,
+                                      const VersionDigest &Version) const {
   return {Id, Control_->revision(), Version};
 }
 
 void EntryProcess::State::perform(const RespondWhole &A, TimePoint) {
   HttpResponse R{A.Status_, toHttp(A.Headers_), A.Body_};
-  addMark(R.Headers_, mark(A.Request_, A.Version_), Outcome::Answered);
+  addMetadata(R.Headers_, responseMetadata(A.Request_, A.Version_),
+              Outcome::Answered);
   if (HttpExchange *X = exchange(A.Request_))
     X->respond(std::move(R));
 }
 
 void EntryProcess::State::perform(const RespondProblem &A, TimePoint) {
   if (HttpExchange *X = exchange(A.Request_))
-    X->respond(problemResponse(A.Problem_, mark(A.Request_, A.Version_)));
+    X->respond(
+        problemResponse(A.Problem_, responseMetadata(A.Request_, A.Version_)));
 }
 
 void EntryProcess::State::perform(const StreamBegin &A, TimePoint) {
   HttpHeaders Headers = toHttp(A.Headers_);
-  addMark(Headers, mark(A.Request_, A.Version_), Outcome::Answered);
+  addMetadata(Headers, responseMetadata(A.Request_, A.Version_),
+              Outcome::Answered);
   if (HttpExchange *X = exchange(A.Request_))
     X->head(A.Status_, std::move(Headers));
 }
--- a/hawthornroad/runtime/EntryProcess.cpp
+++ b/hawthornroad/runtime/EntryProcess.cpp
@@ -15,14 +15,15 @@
 
 namespace {
 constexpr Duration TickPeriod = Milliseconds(20);
-// Longest wait for claims to be settled and bytes to be read at a planned stop.
-constexpr Duration SettleAtStop = Seconds(10);
-constexpr Duration StopPoll = Milliseconds(20);
-// How soon limits follow entries that come and go.
-constexpr Duration SharePeriod = Seconds(1);
+// Maximum wait at a planned stop for claims to settle and for callers to read
+// their answers.
+constexpr Duration StopSettleTimeout = Seconds(10);
+constexpr Duration StopPollPeriod = Milliseconds(20);
+// How often limits are adjusted to the number of live entries.
+constexpr Duration LimitSharePeriod = Seconds(1);
 constexpr Duration BusyRetryAfter = Milliseconds(500);
-// A claim that takes longer is refused: the caller is not kept waiting for a
-// table that is out.
+// A claim that takes longer is refused, so that callers do not wait for a table
+// that is unavailable.
 constexpr Duration ClaimTimeout = Milliseconds(1000);
 
 std::int64_t wallMilliseconds() {
@@ -80,7 +81,7 @@
 void EntryProcess::State::listen() {
   const ProcessSettings &Common = Settings_.Common_;
   Loop_ = std::make_unique<DecisionLoop>(System_, "decisions", TickPeriod,
-                                         EntryRing);
+                                         EntryRingCapacity);
   Net_ = std::make_unique<PeerNet>(PeersIo_,
                                    PeerNet::Self{Common.Process_, Incarnation_,
                                                  Common.Zone_, "entry",
@@ -127,7 +128,8 @@
   Loop_->onTick([this](TimePoint Now) { tick(Now); });
 }
 
-// The loop goes before what its closures use, the threads before the loop.
+// The loop is destroyed before the objects its closures use, and the threads
+// stop before the loop.
 EntryProcess::State::~State() {
   CallersIo_.stop();
   PeersIo_.stop();
@@ -136,7 +138,7 @@
   Loop_.reset();
 }
 
-// ---- From the threads into the loop -----------------------------------------
+// ---- From the I/O threads into the loop -------------------------------------
 
 PeerNet::Callbacks EntryProcess::State::netCallbacks() {
   PeerNet::Callbacks C;
@@ -162,14 +164,14 @@
     return X->respond(problemResponse(*Bad, {Id, 0, {}}));
   }
   auto &Call = std::get<CallerRequest>(Parsed);
-  X->onGone([this, Id] {
+  X->onDisconnect([this, Id] {
     Loop_->post(
         [this, Id](TimePoint Now) { run(Core_.callerGone(Id, Now), Now); });
   });
-  bool Taken = Loop_->post([this, Call = std::move(Call), X](TimePoint Now) {
-    arrive(Call, X, Now);
+  bool Posted = Loop_->post([this, Call = std::move(Call), X](TimePoint Now) {
+    acceptRequest(Call, X, Now);
   });
-  if (!Taken) {
+  if (!Posted) {
     Metrics_.count("hawthornroad_requests_total",
                    {{"outcome", "not-run"}, {"cause", "process_busy"}});
     X->respond(problemResponse(processBusy(), {Id, 0, {}}));
@@ -180,10 +182,10 @@
                                   const wire::Frame &Frame) {
   auto Unpacked = std::make_shared<wire::FrameT>();
   Frame.UnPackTo(Unpacked.get());
-  bool Taken = Loop_->post([this, From, Unpacked](TimePoint Now) {
-    takeFrame(From, *Unpacked, Now);
+  bool Posted = Loop_->post([this, From, Unpacked](TimePoint Now) {
+    handleFrame(From, *Unpacked, Now);
   });
-  if (!Taken)
+  if (!Posted)
     Metrics_.count("hawthornroad_frames_dropped_total");
 }
 
@@ -206,7 +208,7 @@
     Net_->setRevision(R);
     Declaration_ = D;
     Core_.configure(std::move(D));
-    shareLimits();
+    updateLimitShare();
     Metrics_.set("hawthornroad_revision", static_cast<double>(R));
   };
   C.OnEndpoint_ = [this](const EndpointStatus &S, TimePoint Now) {
@@ -224,9 +226,9 @@
   AdminServer::Hooks H;
   H.Ready_ = [this] { return Ready_.load() && !Stopping_.load(); };
   H.StatusJson_ = [this](AdminServer::Reply Done) {
-    bool Taken =
+    bool Posted =
         Loop_->post([this, Done](TimePoint Now) { Done(statusText(Now)); });
-    if (!Taken)
+    if (!Posted)
       Done("{\"error\":\"the decision loop is full\"}");
   };
   H.BeforeMetrics_ = [this] {
@@ -240,9 +242,9 @@
 
 // ---- Inside the loop --------------------------------------------------------
 
-void EntryProcess::State::arrive(CallerRequest R,
-                                 std::shared_ptr<HttpExchange> X,
-                                 TimePoint Now) {
+void EntryProcess::State::acceptRequest(CallerRequest R,
+                                        std::shared_ptr<HttpExchange> X,
+                                        TimePoint Now) {
   RequestId Id = R.Id_;
   R.Repeatable_ =
       R.Repeatable_ && Core_.isRepeatable(R.Service_, R.Method_, R.Target_);
@@ -251,30 +253,32 @@
       Now);
 }
 
-void EntryProcess::State::takeFrame(const PeerContext &From,
-                                    const wire::FrameT &Frame, TimePoint Now) {
+void EntryProcess::State::handleFrame(const PeerContext &From,
+                                      const wire::FrameT &Frame,
+                                      TimePoint Now) {
   if (Control_->onFrame(From, Frame, Now))
     return;
-  std::optional<AttemptUpdate> Word = toAttemptUpdate(Frame, From.Incarnation_);
-  if (!Word)
+  std::optional<AttemptUpdate> Update =
+      toAttemptUpdate(Frame, From.Incarnation_);
+  if (!Update)
     return;
   AttemptId Id =
-      std::visit([](const auto &W) { return W.From_.Attempt_; }, *Word);
+      std::visit([](const auto &W) { return W.From_.Attempt_; }, *Update);
   RequestId Request = Core_.requestOf(Id);
   if (const HttpExchange *X = exchange(Request))
     run(Core_.callerBacklog(Request, X->backlog(), Now), Now);
   CurrentConnection_ = From.Connection_;
-  run(Core_.attemptUpdated(*Word, Now), Now);
+  run(Core_.attemptUpdated(*Update, Now), Now);
   CurrentConnection_ = 0;
 }
 
 void EntryProcess::State::tick(TimePoint Now) {
   Claims_.setWallClock(wallMilliseconds(), Now);
   Ready_.store(Control_->ready());
-  if (Now - SharedAt_ >= SharePeriod) {
-    SharedAt_ = Now;
+  if (Now - LimitsSharedAt_ >= LimitSharePeriod) {
+    LimitsSharedAt_ = Now;
     if (Control_->liveEntries() != LiveEntries_)
-      shareLimits();
+      updateLimitShare();
   }
   for (RequestId Id : Core_.heldBack())
     if (const HttpExchange *X = exchange(Id))
@@ -288,18 +292,18 @@
                static_cast<double>(Claims_.dropped()));
   if (Draining_.load()) {
     Core_.drain();
-    noteProgressOfStop();
+    updateStopProgress();
   }
 }
 
-void EntryProcess::State::shareLimits() {
+void EntryProcess::State::updateLimitShare() {
   if (!Declaration_)
     return;
   LiveEntries_ = Control_->liveEntries();
   Admission_.configure(Declaration_, std::max<std::size_t>(LiveEntries_, 1));
 }
 
-void EntryProcess::State::noteProgressOfStop() {
+void EntryProcess::State::updateStopProgress() {
   AllSettled_.store(Core_.open() == 0 && Claims_.open() == 0);
   AllAnswered_.store(Core_.inProgress() == 0 && Unread_.empty());
 }
@@ -354,27 +358,27 @@
 }
 
 namespace {
-void waitFor(const std::atomic<bool> &Condition, Duration Bound) {
-  TimePoint Limit = std::chrono::steady_clock::now() + Bound;
-  while (!Condition.load() && std::chrono::steady_clock::now() < Limit)
-    std::this_thread::sleep_for(StopPoll);
+void waitFor(const std::atomic<bool> &Condition, Duration Timeout) {
+  TimePoint Deadline = std::chrono::steady_clock::now() + Timeout;
+  while (!Condition.load() && std::chrono::steady_clock::now() < Deadline)
+    std::this_thread::sleep_for(StopPollPeriod);
 }
 } // namespace
 
 void EntryProcess::drain() {
   State &S = *State_;
-  // The balancer needs a while to see /readyz fail; until then its callers
-  // are served as before.
+  // The load balancer takes a while to notice that /readyz fails; until then
+  // its callers are served as before.
   S.Stopping_.store(true);
   std::this_thread::sleep_for(S.Settings_.DrainGrace_);
   S.Callers_->closeListener();
   S.Draining_.store(true);
-  waitFor(S.AllAnswered_, S.Settings_.MaxDeadline_ + SettleAtStop);
-  // A claim that the table does not take is left as it is: its key will be
-  // told "unknown".
-  waitFor(S.AllSettled_, SettleAtStop);
+  waitFor(S.AllAnswered_, S.Settings_.MaxDeadline_ + StopSettleTimeout);
+  // A claim that the table does not accept in time stays unsettled; later
+  // requests with its key get the outcome "unknown".
+  waitFor(S.AllSettled_, StopSettleTimeout);
   S.Loop_->post([&S](TimePoint Now) { S.Control_->leave(Now); });
-  std::this_thread::sleep_for(5 * StopPoll);
+  std::this_thread::sleep_for(5 * StopPollPeriod);
 }
 
 } // namespace hawthornroad
--- a/hawthornroad/runtime/EntryProcess.h
+++ b/hawthornroad/runtime/EntryProcess.h
@@ -1,4 +1,5 @@
-// One entry: callers on one side, agents on the other, the decisions between.
+// The entry process: accepts requests from callers and dispatches them to
+// agents.
 //
 //   EntryProcess Entry(EntrySettings::load(File));   // listens from here on
 //   printReady(Entry.readyLine());
@@ -6,10 +7,10 @@
 //   Entry.drain();
 //
 // Threads: "callers" (HTTP from callers), "peers" (frames), "platform" (calls
-// to the table), "admin", and the DecisionLoop. Whatever arrives is unpacked on
-// its own thread and posted into the loop as a closure; whatever is decided
-// leaves the loop through thread-safe senders. A full ring refuses: a caller
-// gets a 503 "not-run" at once, a frame is dropped and asked for again.
+// to the table), "admin", and the DecisionLoop. Input is decoded on the thread
+// that received it and posted to the loop as a closure; output leaves the loop
+// through thread-safe senders. When the loop's ring is full, a caller gets a
+// 503 "not-run" at once, and a frame is dropped and requested again.
 
 #ifndef HAWTHORNROAD_RUNTIME_ENTRYPROCESS_H
 #define HAWTHORNROAD_RUNTIME_ENTRYPROCESS_H
@@ -24,7 +25,7 @@
 
 class EntryProcess {
 public:
-  // Loads settings and charts and throws the first fault found.
+  // Loads settings and charts; throws the first error found.
   static void check(const std::string &SettingsFile);
 
   // Throws Error when a listener or a chart cannot be opened.
@@ -34,9 +35,9 @@
   EntryProcess &operator=(const EntryProcess &) = delete;
 
   boost::json::object readyLine() const;
-  // A planned stop: /readyz fails at once, the listener closes after the
-  // balancer's grace, then this waits until every request in progress has its
-  // answer written. Every request has a deadline, so it ends.
+  // Planned stop: /readyz fails at once, the listener closes after the grace
+  // period for the load balancer, then this blocks until the answers of all
+  // requests in progress are written. Request deadlines bound the wait.
   void drain();
 
 private:
--- a/hawthornroad/runtime/EntryState.h
+++ b/hawthornroad/runtime/EntryState.h
@@ -1,6 +1,6 @@
-// The inside of EntryProcess, shared by its two files: EntryProcess.cpp
-// (threads, listeners, what comes in) and EntryActions.cpp (what goes out).
-// Nobody else includes it.
+// Internal state of EntryProcess, shared by its two source files:
+// EntryProcess.cpp (threads, listeners, input) and EntryActions.cpp (output).
+// No other file includes it.
 
 #ifndef HAWTHORNROAD_RUNTIME_ENTRYSTATE_H
 #define HAWTHORNROAD_RUNTIME_ENTRYSTATE_H
@@ -20,12 +20,12 @@
 
 namespace hawthornroad {
 
-// Tasks and closures that may wait for a thread.
-constexpr std::size_t EntryRing = 32768;
+// Ring capacity of each thread: tasks or closures that can be queued.
+constexpr std::size_t EntryRingCapacity = 32768;
 
 // Nanoseconds since the epoch.
 Incarnation startTime();
-// Ids must differ between processes, and between lives of one process, even
+// Ids must differ between processes, and between restarts of one process, even
 // when a test fixes the seed.
 std::uint64_t idSeed();
 
@@ -38,16 +38,17 @@
   ControlPlane::Callbacks controlCallbacks();
   AdminServer::Hooks adminHooks();
 
-  // On the callers' thread.
+  // Called on the callers' thread.
   void onCall(HttpRequest R, std::shared_ptr<HttpExchange> X);
-  // On the peers' thread.
+  // Called on the peers' thread.
   void onFrame(const PeerContext &From, const wire::Frame &Frame);
   void onLost(const PeerContext &From, const Error &E);
 
-  // Inside the loop.
-  void arrive(CallerRequest R, std::shared_ptr<HttpExchange> X, TimePoint Now);
-  void takeFrame(const PeerContext &From, const wire::FrameT &Frame,
-                 TimePoint Now);
+  // Called inside the loop.
+  void acceptRequest(CallerRequest R, std::shared_ptr<HttpExchange> X,
+                     TimePoint Now);
+  void handleFrame(const PeerContext &From, const wire::FrameT &Frame,
+                   TimePoint Now);
   void tick(TimePoint Now);
   void run(const RequestCore::Actions &Actions, TimePoint Now);
   void run(const ClaimCore::Actions &Actions, TimePoint Now);
@@ -65,21 +66,23 @@
   void perform(const SettleClaim &A, TimePoint Now);
   void perform(const RequestDone &A, TimePoint Now);
   HttpExchange *exchange(RequestId Id) const;
-  ResponseMark mark(RequestId Id, const VersionDigest &Version) const;
+  ResponseMetadata responseMetadata(RequestId Id,
+                                    const VersionDigest &Version) const;
   std::string statusText(TimePoint Now) const;
-  // Whether each caller has its whole answer; whether the claims are settled.
-  void noteProgressOfStop();
+  // Updates AllAnswered_ and AllSettled_: whether every caller has its complete
+  // answer, and whether all claims are settled.
+  void updateStopProgress();
 
-  // Tells admission how many entries share the limits.
-  void shareLimits();
+  // Passes the number of entries that share the limits to admission.
+  void updateLimitShare();
 
   EntrySettings Settings_;
   Incarnation Incarnation_ = startTime();
   Metrics Metrics_;
   ActorSystem System_;
-  IoThread CallersIo_{"callers", EntryRing};
-  IoThread PeersIo_{"peers", EntryRing};
-  IoThread PlatformIo_{"platform", EntryRing};
+  IoThread CallersIo_{"callers", EntryRingCapacity};
+  IoThread PeersIo_{"peers", EntryRingCapacity};
+  IoThread PlatformIo_{"platform", EntryRingCapacity};
   IoThread AdminIo_{"admin", 1024};
   HttpClient Platform_{PlatformIo_};
 
@@ -100,24 +103,26 @@
   std::string PeersAddress_;
   std::string AdminAddress_;
 
-  // Inside the loop.
+  // Accessed only inside the loop.
   std::shared_ptr<const Declaration> Declaration_;
   std::size_t LiveEntries_ = 0;
-  TimePoint SharedAt_;
+  TimePoint LimitsSharedAt_;
   std::unordered_map<RequestId, std::shared_ptr<HttpExchange>> Exchanges_;
-  // Answered, but with bytes the caller has not read.
+  // Answered, but the caller has not read all bytes yet.
   std::vector<std::shared_ptr<HttpExchange>> Unread_;
-  // Connection of the frame now handled: where a late frame's cancel goes.
+  // Connection of the frame being handled; a cancel in reply to a late frame
+  // goes there.
   ConnectionId CurrentConnection_ = 0;
   Random Ids_{idSeed()};
 
   std::atomic<bool> Ready_{false};
-  // A planned stop has begun; the listener is closed.
+  // Stopping_: a planned stop has started. Draining_: the listener is closed.
   std::atomic<bool> Stopping_{false};
   std::atomic<bool> Draining_{false};
   std::atomic<bool> AllAnswered_{false};
   std::atomic<bool> AllSettled_{false};
-  // On the peers' thread: number of the last begin put on a connection.
+  // Accessed only on the peers' thread: number of the last attempt whose begin
+  // frame was put on a connection.
   std::uint64_t BegunUpTo_ = 0;
 };
 
--- a/hawthornroad/runtime/EventLog.cpp
+++ b/hawthornroad/runtime/EventLog.cpp
@@ -11,10 +11,10 @@
 namespace hawthornroad {
 
 namespace {
-// A reader that is this slow at the end of the process is not waited for.
-constexpr int LastWaitMs = 100;
-// A buffer filled to this part wakes the writer before its time.
-constexpr std::size_t EarlyPart = 4;
+// Maximum wait for a blocked reader at the end of the process.
+constexpr int FinalPollMs = 100;
+// A buffer more than 1/EarlyFlushDivisor full wakes the writer early.
+constexpr std::size_t EarlyFlushDivisor = 4;
 
 void appendEscaped(std::string &Out, std::string_view Text) {
   static constexpr std::string_view Hex = "0123456789abcdef";
@@ -99,7 +99,7 @@
   Thread_.join();
 }
 
-bool EventLog::fits(std::size_t Bytes, bool IsImportant, TimePoint Now) {
+bool EventLog::tryReserve(std::size_t Bytes, bool IsImportant, TimePoint Now) {
   double Elapsed = std::chrono::duration<double>(Now - RefilledAt_).count();
   RefilledAt_ = Now;
   Allowance_ = std::min(Options_.BytesPerSecond_,
@@ -128,16 +128,16 @@
   bool Wake = false;
   {
     std::lock_guard Lock(Mutex_);
-    if (!fits(L.body().size() + Prefix_.size() + 24, IsImportant, Now)) {
+    if (!tryReserve(L.body().size() + Prefix_.size() + 24, IsImportant, Now)) {
       ++Dropped_;
-      ++DroppedUntold_;
+      ++DroppedUnreported_;
       return;
     }
-    Wake =
-        Buffer_.empty() || Buffer_.size() > Options_.BufferBytes_ / EarlyPart;
-    if (DroppedUntold_ > 0)
+    Wake = Buffer_.empty() ||
+           Buffer_.size() > Options_.BufferBytes_ / EarlyFlushDivisor;
+    if (DroppedUnreported_ > 0)
       append(LogLine("log_dropped")
-                 .count("lines", std::exchange(DroppedUntold_, 0))
+                 .count("lines", std::exchange(DroppedUnreported_, 0))
                  .body(),
              Now);
     append(L.body(), Now);
@@ -165,9 +165,9 @@
       std::unique_lock Lock(Mutex_);
       Changed_.wait(Lock, [&] { return Stopping_ || !Buffer_.empty(); });
       if (!Stopping_)
-        Changed_.wait_for(Lock, Options_.Gather_, [&] {
+        Changed_.wait_for(Lock, Options_.FlushDelay_, [&] {
           return Stopping_ ||
-                 Buffer_.size() > Options_.BufferBytes_ / EarlyPart;
+                 Buffer_.size() > Options_.BufferBytes_ / EarlyFlushDivisor;
         });
       Out.swap(Buffer_);
       Last = Stopping_;
@@ -176,7 +176,7 @@
     while (Done < Out.size()) {
       if (Last) {
         pollfd Ready{Options_.Descriptor_, POLLOUT, 0};
-        if (::poll(&Ready, 1, LastWaitMs) <= 0)
+        if (::poll(&Ready, 1, FinalPollMs) <= 0)
           return;
       }
       ssize_t Wrote =
@@ -184,7 +184,7 @@
       if (Wrote > 0)
         Done += static_cast<std::size_t>(Wrote);
       else if (Wrote < 0 && errno != EINTR && errno != EAGAIN)
-        break; // nobody reads any more: lines are lost, the work goes on
+        break; // the reader is gone: drop the lines and go on
     }
     Out.clear();
     if (Last)
--- a/hawthornroad/runtime/EventLog.h
+++ b/hawthornroad/runtime/EventLog.h
@@ -1,4 +1,4 @@
-// Structured logs of a process: one JSON object a line on standard output.
+// Structured log of a process: one JSON object per line on standard output.
 //
 //   EventLog Log({.Process_ = "zg-entry-1"});
 //   Log.write(LogLine("attempt").text("request", Id).number("ms", 12.5));
@@ -8,11 +8,11 @@
 // processes of a machine share; "wall_ms" in the line "start" ties it to the
 // time of day.
 //
-// Writing never blocks the work: a line goes into a bounded buffer that a
-// thread of its own writes out. A reader that stops reading costs lines, not
-// requests: what does not fit is dropped, counted, and told by a line
-// "log_dropped" as soon as there is room. Bound on volume: BytesPerSecond with
-// a burst of as much; lines marked important pass it, the buffer bounds them.
+// write() never blocks on output: it appends to a bounded buffer that a
+// dedicated thread writes out. When the reader stalls, lines that do not fit
+// are dropped and counted, and a "log_dropped" line reports them as soon as
+// there is room. The volume is limited to BytesPerSecond, with a burst of one
+// second's worth; important lines bypass this limit but not the buffer's.
 
 #ifndef HAWTHORNROAD_RUNTIME_EVENTLOG_H
 #define HAWTHORNROAD_RUNTIME_EVENTLOG_H
@@ -28,7 +28,7 @@
 
 namespace hawthornroad {
 
-// Builds one line. Keys are literals of this program and are not escaped.
+// Builds one line. Keys must be literals that need no escaping.
 class LogLine {
 public:
   explicit LogLine(std::string_view Event);
@@ -52,26 +52,26 @@
     std::string Process_;
     int Descriptor_ = 1;
     std::size_t BufferBytes_ = 256 * 1024;
-    // A busy entry writes about 60 KB/s; three times as much passes.
+    // A busy entry writes about 60 KB/s; three times that rate is allowed.
     double BytesPerSecond_ = 200 * 1024;
-    // How long lines gather before they are written out together.
-    Duration Gather_ = Milliseconds(200);
+    // How long lines are buffered before they are written together.
+    Duration FlushDelay_ = Milliseconds(200);
   };
 
   explicit EventLog(Options O);
-  // Writes out what is left, but waits for a reader at most once.
+  // Flushes the buffer; gives up after one wait for a blocked reader.
   ~EventLog();
   EventLog(const EventLog &) = delete;
   EventLog &operator=(const EventLog &) = delete;
 
   void write(const LogLine &L, bool IsImportant = false);
   std::uint64_t dropped() const;
-  // Since the epoch, by this machine's time of day.
+  // Milliseconds since the epoch by the system clock.
   static std::uint64_t wallMilliseconds();
 
 private:
   void run();
-  bool fits(std::size_t Bytes, bool IsImportant, TimePoint Now);
+  bool tryReserve(std::size_t Bytes, bool IsImportant, TimePoint Now);
   void append(const std::string &Body, TimePoint Now);
 
   Options Options_;
@@ -82,7 +82,7 @@
   double Allowance_;
   TimePoint RefilledAt_;
   std::uint64_t Dropped_ = 0;
-  std::uint64_t DroppedUntold_ = 0;
+  std::uint64_t DroppedUnreported_ = 0;
   bool Stopping_ = false;
   std::thread Thread_;
 };
--- a/hawthornroad/runtime/Http.h
+++ b/hawthornroad/runtime/Http.h
@@ -13,9 +13,9 @@
 //       "/x"}, {.Timeout_ = Seconds(2)}, {.OnDone_ = [](HttpResult R) {...}});
 //   Call->cancel();
 //
-// A body the other side did not finish (missing chunk terminator, short
-// Content-Length) is reported as an error and never as a short answer.
-// All callbacks run on the IoThread given.
+// An incomplete body (missing chunk terminator, fewer bytes than
+// Content-Length) is reported as an error and never as a shorter answer.
+// All callbacks run on the given IoThread.
 
 #ifndef HAWTHORNROAD_RUNTIME_HTTP_H
 #define HAWTHORNROAD_RUNTIME_HTTP_H
@@ -41,7 +41,8 @@
 };
 using HttpHeaders = std::vector<HttpHeader>;
 
-// The first header called Name, letter case ignored; nullopt when absent.
+// The value of the first header with this name, ignoring case; nullopt when
+// absent.
 std::optional<std::string> findHeader(const HttpHeaders &Headers,
                                       std::string_view Name);
 
@@ -63,23 +64,24 @@
 // Builds a response with an application/json body.
 HttpResponse jsonResponse(unsigned Status, std::string Body);
 
-// One request on a server and the way to answer it. Methods are thread-safe;
-// calls after the end or after the caller left do nothing.
+// One request on a server, with the methods to answer it. Methods are
+// thread-safe; calls after the end of the answer or after the caller has
+// disconnected do nothing.
 class HttpExchange {
 public:
   virtual ~HttpExchange() = default;
-  // A whole answer with Content-Length.
+  // Sends a complete answer with Content-Length.
   virtual void respond(HttpResponse R) = 0;
-  // Or a streamed one (chunked): head, any writes, finish.
+  // Or streams a chunked one: head(), any number of write(), finish().
   virtual void head(unsigned Status, HttpHeaders Headers) = 0;
   virtual void write(std::string Bytes) = 0;
   virtual void finish() = 0;
-  // Ends the connection so that the caller sees the body was not whole.
+  // Closes the connection so that the caller sees that the body is incomplete.
   virtual void abort() = 0;
-  // Bytes handed to write() that the socket has not taken yet.
+  // Bytes queued for sending that the socket has not accepted yet.
   virtual std::size_t backlog() const = 0;
-  // Called once if the caller goes away before the end.
-  virtual void onGone(std::function<void()> Handler) = 0;
+  // Handler is called once if the caller disconnects before the end.
+  virtual void onDisconnect(std::function<void()> Handler) = 0;
   virtual std::string peer() const = 0;
 };
 
@@ -89,9 +91,9 @@
     std::size_t MaxHeader_ = 16 * 1024;
     std::size_t MaxBody_ = 8 * 1024 * 1024;
     std::size_t MaxConnections_ = 4096;
-    // Longest time a caller may take to send one request.
+    // Maximum time for a caller to send one request.
     Duration ReadTimeout_ = Seconds(30);
-    // Longest time a caller may leave written bytes unread.
+    // Maximum time that a caller may leave written bytes unread.
     Duration WriteTimeout_ = Seconds(30);
   };
   using Handler =
@@ -102,10 +104,10 @@
   HttpServer(const HttpServer &) = delete;
   HttpServer &operator=(const HttpServer &) = delete;
 
-  // Binds Ip:Port (0 lets the kernel choose) and returns the port. Throws
-  // Error(Step::Listen).
+  // Binds Ip:Port and returns the port; with port 0 the kernel picks a free
+  // one. Throws Error(Step::Listen).
   std::uint16_t listen(const std::string &Ip, std::uint16_t Port);
-  // Stops accepting; open exchanges go on. Idle connections are closed.
+  // Stops accepting and closes idle connections; open exchanges continue.
   void closeListener();
 
 private:
@@ -115,24 +117,25 @@
 
 // How a client call ended.
 struct HttpResult {
-  // Set when a whole response came; its Body_ is empty when OnData_ was given.
+  // Set when a complete response was received; its Body_ is empty when OnData_
+  // was given.
   std::optional<HttpResponse> Response_;
   // Set otherwise.
   std::optional<Error> Error_;
-  // Whether any byte of the request was handed to a connected socket. False
-  // means the other side cannot have seen the request.
+  // Whether any byte of the request may have been passed to a connected socket.
+  // False means that the server cannot have seen the request.
   bool Sent_ = false;
 };
 
 class HttpCall {
 public:
   virtual ~HttpCall() = default;
-  // Closes the connection; OnDone_ is not called after cancel() returns when
-  // called on the client's IoThread.
+  // Closes the connection. When called on the client's IoThread, OnDone_ is not
+  // called after cancel() returns.
   virtual void cancel() = 0;
-  // Thread-safe. Reads no more of the response's body until resume(), so that
-  // a slow reader holds the sender back through TCP. At most what is already
-  // read (64 KiB) still comes. The idle timeout does not run meanwhile.
+  // Thread-safe. Stops reading the response body until resume(), so that a slow
+  // reader throttles the sender through TCP flow control. Data already read, at
+  // most 64 KiB, is still delivered. The idle timeout does not run meanwhile.
   virtual void pause() = 0;
   virtual void resume() = 0;
 };
@@ -141,18 +144,18 @@
 public:
   struct Options {
     Duration ConnectTimeout_ = Milliseconds(1000);
-    // Longest silence while waiting for the next bytes of the response.
+    // Maximum wait for the next bytes of the response.
     Duration IdleTimeout_ = Seconds(30);
-    // Longest time of the whole call; zero means no bound.
+    // Maximum duration of the call; zero means no limit.
     Duration Timeout_ = Duration::zero();
     std::size_t MaxBody_ = 256 * 1024 * 1024;
   };
   struct Callbacks {
     // Status and headers, before any data. May be empty.
     std::function<void(const HttpResponse &)> OnHead_;
-    // Body bytes as they come. When empty the body is collected.
+    // Body bytes as they arrive. When empty, the body is collected.
     std::function<void(std::string_view)> OnData_;
-    // Exactly once, unless cancelled.
+    // Called exactly once, unless the call is cancelled.
     std::function<void(HttpResult)> OnDone_;
   };
 
@@ -161,8 +164,8 @@
   HttpClient(const HttpClient &) = delete;
   HttpClient &operator=(const HttpClient &) = delete;
 
-  // Thread-safe. Address is "IP:port". Each call has a connection of its own,
-  // so a connection gone silent can hurt one call only.
+  // Thread-safe. Address is "IP:port". Each call uses a separate connection, so
+  // a stalled connection affects one call only.
   std::shared_ptr<HttpCall> call(const std::string &Address, HttpRequest R,
                                  Options O, Callbacks C);
 
--- a/hawthornroad/runtime/HttpClient.cpp
+++ b/hawthornroad/runtime/HttpClient.cpp
@@ -44,7 +44,8 @@
        HttpClient::Callbacks C)
       : Io_(Io), Address_(std::move(Address)), Request_(std::move(R)),
         Options_(O), Callbacks_(std::move(C)), Stream_(Io.context()),
-        Overall_(Io.context()), Resumed_(Io.context(), TimePoint::max()) {}
+        TotalTimer_(Io.context()),
+        ResumeTimer_(Io.context(), TimePoint::max()) {}
 
   void start() {
     asio::co_spawn(
@@ -63,7 +64,7 @@
   void resume() override {
     onIoThread([Self = shared_from_this()] {
       Self->Paused_ = false;
-      Self->Resumed_.cancel();
+      Self->ResumeTimer_.cancel();
     });
   }
 
@@ -77,22 +78,22 @@
 
   void close() {
     Cancelled_ = true;
-    Overall_.cancel();
-    Resumed_.cancel();
+    TotalTimer_.cancel();
+    ResumeTimer_.cancel();
     boost::system::error_code Ignored;
     Stream_.socket().close(Ignored);
   }
 
-  void startOverallTimer() {
+  void startTotalTimer() {
     if (Options_.Timeout_ == Duration::zero())
       return;
-    Overall_.expires_after(Options_.Timeout_);
-    Overall_.async_wait(
+    TotalTimer_.expires_after(Options_.Timeout_);
+    TotalTimer_.async_wait(
         [Self = shared_from_this()](boost::system::error_code Code) {
           if (Code)
             return;
           Self->TimedOut_ = true;
-          Self->Resumed_.cancel();
+          Self->ResumeTimer_.cancel();
           boost::system::error_code Ignored;
           Self->Stream_.socket().close(Ignored);
         });
@@ -107,14 +108,14 @@
   }
 
   void done(HttpResult Result) {
-    Overall_.cancel();
+    TotalTimer_.cancel();
     if (!Cancelled_ && Callbacks_.OnDone_)
       Callbacks_.OnDone_(std::move(Result));
     Callbacks_ = {};
   }
 
   asio::awaitable<void> run() {
-    startOverallTimer();
+    startTotalTimer();
     tcp::endpoint Endpoint;
     std::string BadAddress;
     try {
@@ -137,8 +138,8 @@
     Stream_.socket().set_option(tcp::no_delay(true), Code);
     auto Message = makeMessage(Address_, std::move(Request_));
     bool HeadOnly = Message.method() == http::verb::head;
-    // Set before the first write: a write that fails half-way may still have
-    // delivered bytes.
+    // Set before the first write: a failed write may still have delivered some
+    // bytes.
     Sent_ = true;
     Stream_.expires_after(Options_.IdleTimeout_);
     co_await http::async_write(Stream_, Message,
@@ -169,8 +170,8 @@
     for (const auto &Field : Parser.get())
       Response.Headers_.push_back(
           {std::string(Field.name_string()), std::string(Field.value())});
-    // A body that ends only with the connection cannot be told from one cut
-    // short by a crash, so it is never taken for a whole answer.
+    // A body delimited only by the end of the connection looks the same as one
+    // truncated by a crash, so it is never accepted as complete.
     if (!Parser.is_done() && Parser.need_eof()) {
       fail(Step::Receive, "response declares no length");
       co_return;
@@ -179,7 +180,7 @@
       Callbacks_.OnHead_(Response);
     std::vector<char> Chunk(ReadBuffer);
     while (!Parser.is_done() && !Cancelled_) {
-      co_await whilePaused();
+      co_await waitWhilePaused();
       Parser.get().body().data = Chunk.data();
       Parser.get().body().size = Chunk.size();
       Stream_.expires_after(Options_.IdleTimeout_);
@@ -188,9 +189,9 @@
           asio::redirect_error(asio::use_awaitable, Code));
       if (Code == http::error::need_buffer)
         Code = {};
-      std::size_t Got = Chunk.size() - Parser.get().body().size;
-      if (Got > 0 && !Cancelled_)
-        deliver(Response, {Chunk.data(), Got});
+      std::size_t Received = Chunk.size() - Parser.get().body().size;
+      if (Received > 0 && !Cancelled_)
+        deliver(Response, {Chunk.data(), Received});
       if (Code || Cancelled_) {
         fail(Step::Receive, Code.message());
         co_return;
@@ -202,11 +203,11 @@
     done(std::move(Result));
   }
 
-  asio::awaitable<void> whilePaused() {
+  asio::awaitable<void> waitWhilePaused() {
     while (Paused_ && !Cancelled_ && !TimedOut_) {
       boost::system::error_code Ignored;
-      Resumed_.expires_at(TimePoint::max());
-      co_await Resumed_.async_wait(
+      ResumeTimer_.expires_at(TimePoint::max());
+      co_await ResumeTimer_.async_wait(
           asio::redirect_error(asio::use_awaitable, Ignored));
     }
   }
@@ -224,8 +225,8 @@
   HttpClient::Options Options_;
   HttpClient::Callbacks Callbacks_;
   beast::tcp_stream Stream_;
-  asio::steady_timer Overall_;
-  asio::steady_timer Resumed_;
+  asio::steady_timer TotalTimer_;
+  asio::steady_timer ResumeTimer_;
   bool Paused_ = false;
   bool Sent_ = false;
   bool Cancelled_ = false;
@@ -245,10 +246,10 @@
 std::shared_ptr<HttpCall> HttpClient::call(const std::string &Address,
                                            HttpRequest R, Options O,
                                            Callbacks C) {
-  auto Made = std::make_shared<Call>(State_->Io_, Address, std::move(R), O,
-                                     std::move(C));
-  Made->start();
-  return Made;
+  auto NewCall = std::make_shared<Call>(State_->Io_, Address, std::move(R), O,
+                                        std::move(C));
+  NewCall->start();
+  return NewCall;
 }
 
 HttpResponse httpFetch(const std::string &Address, const HttpRequest &R,
--- a/hawthornroad/runtime/HttpServer.cpp
+++ b/hawthornroad/runtime/HttpServer.cpp
@@ -40,7 +40,7 @@
 
 namespace {
 
-// Headers that belong to one connection and are set by this server itself.
+// Hop-by-hop headers, which this server sets itself.
 bool isHopHeader(const std::string &Name) {
   static constexpr std::array<const char *, 4> HopNames = {
       "Connection", "Content-Length", "Transfer-Encoding", "Keep-Alive"};
@@ -66,7 +66,7 @@
   return std::string(Size.data(), Length) + Bytes + "\r\n";
 }
 
-// What the writer of one exchange still has to do; touched on the IoThread.
+// Pending output of one exchange; accessed only on the IoThread.
 struct OutputQueue {
   explicit OutputQueue(asio::io_context &Context)
       : Signal_(Context, TimePoint::max()) {}
@@ -75,14 +75,14 @@
   bool Started_ = false;
   bool Ended_ = false;
   bool Aborted_ = false;
-  bool Gone_ = false;
-  std::function<void()> OnGone_;
+  bool Disconnected_ = false;
+  std::function<void()> OnDisconnect_;
   asio::steady_timer Signal_;
 };
 
-// Handlers run on other threads, so each method posts to the IoThread. That
-// queue is bounded by what the producer of the answer may have unacknowledged:
-// it reads backlog() and stops.
+// Answers may be produced on other threads, so each method posts to the
+// IoThread. The queue is bounded by the producer, which checks backlog() and
+// stops when too many bytes are unsent.
 class Exchange final : public HttpExchange,
                        public std::enable_shared_from_this<Exchange> {
 public:
@@ -124,28 +124,28 @@
     return Backlog_.load(std::memory_order_acquire);
   }
 
-  void onGone(std::function<void()> Handler) override {
+  void onDisconnect(std::function<void()> Handler) override {
     post([Handler = std::move(Handler)](OutputQueue &Out) {
-      if (Out.Gone_)
+      if (Out.Disconnected_)
         Handler();
       else
-        Out.OnGone_ = Handler;
+        Out.OnDisconnect_ = Handler;
     });
   }
 
   std::string peer() const override { return Peer_; }
 
-  // The rest is for the session, on the IoThread.
+  // The methods below are for the session, on the IoThread.
   OutputQueue &output() { return Output_; }
   void written(std::size_t Bytes) { Backlog_.fetch_sub(Bytes); }
-  bool closesAfter() const { return !Chunked_; }
+  bool closesAfterAnswer() const { return !Chunked_; }
 
 private:
   void enqueue(std::string Text, bool IsHead, bool Last) {
     Backlog_.fetch_add(Text.size());
     post([Text = std::move(Text), IsHead, Last](OutputQueue &Out) mutable {
-      // A second head, or anything after the end, is a caller's late word.
-      if (Out.Ended_ || Out.Gone_ || IsHead == Out.Started_)
+      // Ignores a second head and anything after the end.
+      if (Out.Ended_ || Out.Disconnected_ || IsHead == Out.Started_)
         return;
       Out.Started_ = true;
       Out.Ended_ = Last;
@@ -182,7 +182,7 @@
                                     std::shared_ptr<Exchange> X);
   asio::awaitable<void> refuse(beast::tcp_stream &Stream,
                                boost::system::error_code Code);
-  void watchGone(beast::tcp_stream &Stream, std::shared_ptr<Exchange> X);
+  void watchDisconnect(beast::tcp_stream &Stream, std::shared_ptr<Exchange> X);
 
   IoThread &Io_;
   Limits Limits_;
@@ -190,7 +190,7 @@
   std::optional<tcp::acceptor> Acceptor_;
   bool Closing_ = false;
   std::size_t Connections_ = 0;
-  // Streams that wait for a next request; closed with the listener.
+  // Streams waiting for the next request; closed with the listener.
   std::set<beast::tcp_stream *> Idle_;
 };
 
@@ -219,7 +219,7 @@
 }
 
 asio::awaitable<void> HttpServer::State::acceptLoop() {
-  auto Keep = shared_from_this();
+  auto Owner = shared_from_this();
   while (!Closing_) {
     boost::system::error_code Code;
     tcp::socket Socket = co_await Acceptor_->async_accept(
@@ -227,12 +227,12 @@
     if (Closing_)
       co_return;
     if (Code || Connections_ >= Limits_.MaxConnections_)
-      continue; // the socket, if any, closes here: a bounded number is served
+      continue; // closes the socket, if any: connections are limited
     asio::co_spawn(Io_.context(), serve(std::move(Socket)), asio::detached);
   }
 }
 
-// Answers a request that could not be read: a clear problem, then the end.
+// Answers an unreadable request with a problem, then ends the connection.
 asio::awaitable<void>
 HttpServer::State::refuse(beast::tcp_stream &Stream,
                           boost::system::error_code Code) {
@@ -260,34 +260,35 @@
   Stream.socket().shutdown(tcp::socket::shutdown_send, Ignored);
 }
 
-void HttpServer::State::watchGone(beast::tcp_stream &Stream,
-                                  std::shared_ptr<Exchange> X) {
+void HttpServer::State::watchDisconnect(beast::tcp_stream &Stream,
+                                        std::shared_ptr<Exchange> X) {
   int Handle = Stream.socket().native_handle();
   Stream.socket().async_wait(
       tcp::socket::wait_read, [X, Handle](boost::system::error_code Code) {
         if (Code || X->output().Ended_)
           return;
         char Byte;
-        ssize_t Got = ::recv(Handle, &Byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        if (Got > 0)
-          return; // a pipelined request: the caller is there
+        ssize_t Received = ::recv(Handle, &Byte, 1, MSG_PEEK | MSG_DONTWAIT);
+        if (Received > 0)
+          return; // a pipelined request: the caller is still connected
         OutputQueue &Out = X->output();
-        Out.Gone_ = true;
-        if (Out.OnGone_)
-          std::exchange(Out.OnGone_, nullptr)();
+        Out.Disconnected_ = true;
+        if (Out.OnDisconnect_)
+          std::exchange(Out.OnDisconnect_, nullptr)();
         Out.Signal_.cancel();
       });
 }
 
-// True when the answer is whole and the connection can serve another request.
+// Returns true when the answer is complete and the connection can serve another
+// request.
 asio::awaitable<bool>
 HttpServer::State::writeAnswer(beast::tcp_stream &Stream,
                                std::shared_ptr<Exchange> X) {
   OutputQueue &Out = X->output();
   for (;;) {
-    // What was written before abort() still goes out: a broken stream's last
-    // event says why it is broken.
-    if (Out.Gone_ || (Out.Aborted_ && Out.Pending_.empty()))
+    // Data written before abort() is still sent: the last event of a failed
+    // stream gives the reason.
+    if (Out.Disconnected_ || (Out.Aborted_ && Out.Pending_.empty()))
       co_return false;
     if (!Out.Pending_.empty()) {
       std::string Text = std::move(Out.Pending_.front());
@@ -300,15 +301,15 @@
       Stream.expires_never();
       X->written(Text.size());
       if (Code) {
-        Out.Gone_ = true;
-        if (Out.OnGone_)
-          std::exchange(Out.OnGone_, nullptr)();
+        Out.Disconnected_ = true;
+        if (Out.OnDisconnect_)
+          std::exchange(Out.OnDisconnect_, nullptr)();
         co_return false;
       }
       continue;
     }
     if (Out.Ended_)
-      co_return !X->closesAfter();
+      co_return !X->closesAfterAnswer();
     boost::system::error_code Ignored;
     Out.Signal_.expires_at(TimePoint::max());
     co_await Out.Signal_.async_wait(
@@ -317,7 +318,7 @@
 }
 
 namespace {
-HttpRequest takeRequest(http::request<http::string_body> &&Message) {
+HttpRequest toHttpRequest(http::request<http::string_body> &&Message) {
   HttpRequest Request;
   Request.Method_ = std::string(Message.method_string());
   Request.Target_ = std::string(Message.target());
@@ -336,7 +337,7 @@
 } // namespace
 
 asio::awaitable<void> HttpServer::State::serve(tcp::socket Socket) {
-  auto Keep = shared_from_this();
+  auto Owner = shared_from_this();
   CountGuard Guard(Connections_);
   boost::system::error_code Code;
   Socket.set_option(tcp::no_delay(true), Code);
@@ -383,16 +384,16 @@
     bool HeadOnly = Parser.get().method() == http::verb::head;
     bool Chunked = Parser.get().version() >= 11;
     auto X = std::make_shared<Exchange>(Io_, Peer, HeadOnly, Chunked);
-    watchGone(Stream, X);
-    Handler_(takeRequest(Parser.release()), X);
-    bool Whole = co_await writeAnswer(Stream, X);
-    X->output().OnGone_ = nullptr;
+    watchDisconnect(Stream, X);
+    Handler_(toHttpRequest(Parser.release()), X);
+    bool IsComplete = co_await writeAnswer(Stream, X);
+    X->output().OnDisconnect_ = nullptr;
     X->output().Ended_ = true;
     Stream.socket().cancel(Code);
-    if (!Whole) {
-      // A reset in place of an orderly end: even a caller that ignores chunked
-      // framing sees that the body is not whole.
-      if (X->output().Aborted_ && !X->output().Gone_)
+    if (!IsComplete) {
+      // Reset the connection instead of closing it: even a caller that ignores
+      // chunked framing then sees that the body is incomplete.
+      if (X->output().Aborted_ && !X->output().Disconnected_)
         Stream.socket().set_option(asio::socket_base::linger(true, 0), Code);
       co_return;
     }
--- a/hawthornroad/runtime/Io.cpp
+++ b/hawthornroad/runtime/Io.cpp
@@ -8,9 +8,9 @@
 namespace hawthornroad {
 
 namespace {
-// Linux keeps 15 characters of a thread's name.
+// Linux limits thread names to 15 characters.
 constexpr std::size_t MaxThreadName = 15;
-// Tasks run in one go before sockets get their turn again.
+// Maximum number of tasks run before socket events are handled again.
 constexpr int DrainBatch = 256;
 } // namespace
 
@@ -39,7 +39,7 @@
 }
 
 void IoThread::drain() {
-  // Cleared first: a task pushed during the loop posts another drain.
+  // Cleared first, so that a task pushed during the loop posts another drain.
   Draining_.store(false, std::memory_order_release);
   for (int I = 0; I < DrainBatch; ++I) {
     std::optional<Task> Next = Tasks_.tryPop();
--- a/hawthornroad/runtime/Io.h
+++ b/hawthornroad/runtime/Io.h
@@ -1,11 +1,11 @@
-// One thread of input and output, with its own Asio context.
+// One I/O thread with its own Asio context.
 //
 //   IoThread Callers("callers", 4096);
 //   if (!Callers.submit([=] { Exchange->write(Bytes); }))
-//     ...  // its ring is full: refuse, or slow the producer down
+//     ...  // the ring is full: refuse, or throttle the producer
 //
-// Everything that belongs to an IoThread (sockets, sessions, timers) is touched
-// only on that thread. Work comes in through a bounded ring.
+// Everything that belongs to an IoThread (sockets, sessions, timers) is
+// accessed only on that thread. Work is submitted through a bounded ring.
 
 #ifndef HAWTHORNROAD_RUNTIME_IO_H
 #define HAWTHORNROAD_RUNTIME_IO_H
@@ -27,7 +27,7 @@
   using Task = std::function<void()>;
 
   IoThread(std::string Name, std::size_t RingCapacity);
-  // Stops the context and joins the thread; tasks not yet run are dropped.
+  // Stops the context and joins the thread; pending tasks are dropped.
   ~IoThread();
   IoThread(const IoThread &) = delete;
   IoThread &operator=(const IoThread &) = delete;
@@ -36,13 +36,13 @@
   bool submit(Task T);
   // Runs T once after Delay, on this thread. Call only on this thread.
   void after(Duration Delay, Task T);
-  // Stops and joins early; safe to call twice.
+  // Stops and joins before destruction; may be called twice.
   void stop();
 
   boost::asio::io_context &context() { return Context_; }
   bool onThisThread() const;
-  // Whether stop() has ended the thread; what belongs to it may then be touched
-  // by the thread that called stop().
+  // Whether stop() has ended the thread. The thread that called stop() may then
+  // access what belongs to this one.
   bool stopped() const { return !Thread_.joinable(); }
 
 private:
--- a/hawthornroad/runtime/RequestReport.cpp
+++ b/hawthornroad/runtime/RequestReport.cpp
@@ -16,27 +16,30 @@
 
 void RequestReport::done(const RequestDone &Done) {
   const CallerRequest &R = *Done.Request_;
-  std::string Said(toString(Done.Outcome_));
+  std::string OutcomeText(toString(Done.Outcome_));
   Metrics_.count("hawthornroad_requests_total",
-                 {{"outcome", Said}, {"cause", Done.Cause_}});
+                 {{"outcome", OutcomeText}, {"cause", Done.Cause_}});
   if (Done.Attempts_ > 1)
     Metrics_.count("hawthornroad_retries_total",
                    {{"service", R.Service_.str()}}, Done.Attempts_ - 1);
-  Metrics::Labels Who = {{"customer", R.Customer_.str()},
-                         {"priority", std::string(toString(R.Priority_))}};
-  Metrics_.observe("hawthornroad_queue_seconds", inSeconds(Done.Queued_), Who);
+  Metrics::Labels CustomerLabels = {
+      {"customer", R.Customer_.str()},
+      {"priority", std::string(toString(R.Priority_))}};
+  Metrics_.observe("hawthornroad_queue_seconds", inSeconds(Done.Queued_),
+                   CustomerLabels);
   if (Done.FirstByte_)
     Metrics_.observe("hawthornroad_first_byte_seconds",
-                     inSeconds(*Done.FirstByte_), Who);
+                     inSeconds(*Done.FirstByte_), CustomerLabels);
   if (Done.Outcome_ == Outcome::Answered)
     Metrics_.observe("hawthornroad_request_seconds", inSeconds(Done.Total_),
-                     Who);
-  std::string First = Done.FirstByte_ ? millisecondsText(*Done.FirstByte_) : "";
+                     CustomerLabels);
+  std::string FirstByteText =
+      Done.FirstByte_ ? millisecondsText(*Done.FirstByte_) : "";
   log(LogLevel::Info, Step::Answer, "request done",
       {{"request", R.Id_.str()},
        {"customer", R.Customer_.str()},
        {"service", R.Service_.str()},
-       {"outcome", Said},
+       {"outcome", OutcomeText},
        {"cause", Done.Cause_},
        {"status", std::to_string(Done.Status_)},
        {"attempts", std::to_string(Done.Attempts_)},
@@ -45,7 +48,7 @@
        {"bytes", std::to_string(Done.Bytes_)},
        {"caller_gone", Done.CallerGone_ ? "true" : ""},
        {"queued_ms", millisecondsText(Done.Queued_)},
-       {"first_byte_ms", First},
+       {"first_byte_ms", FirstByteText},
        {"whole_ms", millisecondsText(Done.Total_)}});
 }
 
--- a/hawthornroad/runtime/RequestReport.h
+++ b/hawthornroad/runtime/RequestReport.h
@@ -1,5 +1,5 @@
-// Tells the story of each finished request: one line in the log, histograms per
-// customer and priority, counters per outcome and cause.
+// Reports each finished request: one log line, histograms per customer and
+// priority, and counters per outcome and cause.
 //
 //   RequestReport Report(Metrics);
 //   Report.done(Done);
--- a/hawthornroad/runtime/Seed.h
+++ b/hawthornroad/runtime/Seed.h
@@ -1,9 +1,10 @@
-// Seeds for the generators that decisions draw from.
+// Seeds for the random generators used in decisions.
 //
 //   Random R(seedOr(Settings.RandomSeed_));
 //
-// A seed in the settings makes a run repeatable; without one, processes that
-// start together must not choose alike, so it is taken from the system.
+// A seed in the settings makes a run repeatable. Without one the seed comes
+// from the system, so that processes started together do not make the same
+// choices.
 
 #ifndef HAWTHORNROAD_RUNTIME_SEED_H
 #define HAWTHORNROAD_RUNTIME_SEED_H
@@ -18,7 +19,7 @@
   return (std::uint64_t{Device()} << 32) ^ Device();
 }
 
-// Fixed, unless it is 0.
+// Returns Fixed, or a system seed when Fixed is 0.
 inline std::uint64_t seedOr(std::uint64_t Fixed) {
   return Fixed != 0 ? Fixed : systemSeed();
 }
--- a/hawthornroad/runtime/VmLock.cpp
+++ b/hawthornroad/runtime/VmLock.cpp
@@ -25,21 +25,21 @@
 
 bool VmLock::tryAcquire() {
   boost::system::error_code Code;
-  tcp::acceptor Made(State_->Context_);
-  Made.open(State_->Endpoint_.protocol(), Code);
-  // Without it, connections of a dead predecessor in TIME_WAIT would hold the
-  // port for a minute; two listeners are refused all the same.
+  tcp::acceptor Acceptor(State_->Context_);
+  Acceptor.open(State_->Endpoint_.protocol(), Code);
+  // Without SO_REUSEADDR, connections of a dead predecessor in TIME_WAIT would
+  // block the port for a minute. A second listener is refused even with it.
   if (!Code)
-    Made.set_option(asio::socket_base::reuse_address(true), Code);
+    Acceptor.set_option(asio::socket_base::reuse_address(true), Code);
   if (!Code)
-    Made.bind(State_->Endpoint_, Code);
+    Acceptor.bind(State_->Endpoint_, Code);
   if (!Code)
-    Made.listen(asio::socket_base::max_listen_connections, Code);
+    Acceptor.listen(asio::socket_base::max_listen_connections, Code);
   if (Code == asio::error::address_in_use)
     return false;
   if (Code)
     throw Error(Step::Listen, Address_, Code.message());
-  State_->Acceptor_.emplace(std::move(Made));
+  State_->Acceptor_.emplace(std::move(Acceptor));
   return true;
 }
 
--- a/hawthornroad/runtime/VmLock.h
+++ b/hawthornroad/runtime/VmLock.h
@@ -1,12 +1,14 @@
-// The right to act for a VM: a listening port that one process can hold.
+// Exclusive lock on acting for a VM: a listening port that only one process can
+// hold.
 //
 //   VmLock Lock("127.0.0.1:7900");
 //   while (!Lock.tryAcquire()) ...          // another agent holds it
 //
 // Two agents on one VM would give its engine contradictory orders. The kernel
-// lets one process listen on the port. It keeps the port for a process that is
-// paused, so a replacement cannot act beside a frozen agent that thaws later,
-// and frees it at death; nothing expires in between. Nobody connects to it.
+// lets only one process listen on the port. A paused process keeps the port, so
+// a replacement cannot act beside an agent that resumes later; the kernel frees
+// it when the process dies. The lock has no timeout, and nothing connects to
+// the port.
 
 #ifndef HAWTHORNROAD_RUNTIME_VMLOCK_H
 #define HAWTHORNROAD_RUNTIME_VMLOCK_H
@@ -18,7 +20,7 @@
 
 namespace hawthornroad {
 
-// The lock was still held by another process when a stop was asked for.
+// The lock was still held by another process when a stop was requested.
 class VmLockTaken : public Error {
 public:
   using Error::Error;
@@ -32,8 +34,8 @@
   VmLock(const VmLock &) = delete;
   VmLock &operator=(const VmLock &) = delete;
 
-  // True when this process holds the lock now. Throws Error(Step::Listen) for
-  // any cause but another holder.
+  // Returns true when this process now holds the lock, false when another one
+  // does. Throws Error(Step::Listen) for any other failure.
   bool tryAcquire();
   const std::string &address() const { return Address_; }
 
--- a/tests/unit/CallerApiTest.cpp
+++ b/tests/unit/CallerApiTest.cpp
@@ -17,8 +17,8 @@
 }
 } // namespace
 
-TEST_CASE("caller's request, well formed, is read whole and keeps its own "
-          "headers only") {
+TEST_CASE("caller's request, well formed, is parsed completely and keeps only "
+          "its own headers") {
   ParsedCall P = parseCall(call({{"Hawthornroad-Deadline-Ms", "250"},
                                  {"hawthornroad-priority", "batch"},
                                  {"Hawthornroad-Repeatable", "no"},
@@ -66,13 +66,13 @@
     REQUIRE(std::get<Problem>(parseCall(R, {1, 2}, {}, Now)).Cause_ ==
             "bad_path");
   }
-  HttpRequest Nobody = call();
-  Nobody.Headers_.clear();
-  REQUIRE(std::get<Problem>(parseCall(Nobody, {1, 2}, {}, Now)).Cause_ ==
+  HttpRequest NoCustomer = call();
+  NoCustomer.Headers_.clear();
+  REQUIRE(std::get<Problem>(parseCall(NoCustomer, {1, 2}, {}, Now)).Cause_ ==
           "missing_customer");
 }
 
-TEST_CASE("problem response says step, outcome and the time to come back") {
+TEST_CASE("problem response states step, outcome and retry time") {
   Problem P;
   P.Status_ = 503;
   P.Cause_ = "queue_full";
--- a/tests/unit/DeflateTest.cpp
+++ b/tests/unit/DeflateTest.cpp
@@ -1,4 +1,4 @@
-// Texts made shorter on their way between processes.
+// Compression of texts sent between processes.
 
 #include "hawthornroad/runtime/Deflate.h"
 #include "hawthornroad/base/Error.h"
@@ -9,7 +9,7 @@
 using namespace hawthornroad;
 
 namespace {
-// Routes as operators write them: the same fields with other names.
+// Routes as operators write them: the same fields with different values.
 std::string routes(int N) {
   Random R(7);
   std::string Out = "{\"routes\":[";
@@ -33,9 +33,10 @@
   REQUIRE(inflate(deflate(Text), Text.size()) == Text);
 }
 
-// A configuration grew to 1,450 routes and its stream happened to end with the
-// last bits of its last byte, which the library's reader took for a stream cut
-// short. Every entry took its source for broken and all read the store at once.
+// Guards against a valid stream being reported as truncated. The compressed
+// configuration of 1,450 routes ended with the last bit of its last byte, which
+// the library did not accept as the end. Every entry treated its source as
+// broken, and all read the store at once.
 TEST_CASE("inflate, given streams that end anywhere in their last byte, finds "
           "the end",
           "[deflate]") {
@@ -51,24 +52,25 @@
   }
 }
 
-TEST_CASE("deflate, given a configuration of many routes, leaves a fifth at "
-          "most",
+TEST_CASE("deflate, given a configuration of many routes, compresses it to a "
+          "fifth or less",
           "[deflate]") {
   std::string Text = routes(1300);
-  std::string Short = deflate(Text);
-  INFO(Text.size() << " bytes became " << Short.size());
-  REQUIRE(Short.size() * 5 <= Text.size());
+  std::string Compressed = deflate(Text);
+  INFO(Text.size() << " bytes became " << Compressed.size());
+  REQUIRE(Compressed.size() * 5 <= Text.size());
 }
 
-TEST_CASE("inflate, given spoilt, cut or mislabelled bytes, throws",
+TEST_CASE("inflate, given corrupt or truncated bytes or a wrong length, throws",
           "[deflate]") {
   std::string Text = routes(50);
-  std::string Short = deflate(Text);
-  REQUIRE_THROWS_AS(inflate(Short, Text.size() - 1), Error);
-  REQUIRE_THROWS_AS(inflate(Short, Text.size() + 1), Error);
-  REQUIRE_THROWS_AS(inflate(Short, MaxInflated + 1), Error);
+  std::string Compressed = deflate(Text);
+  REQUIRE_THROWS_AS(inflate(Compressed, Text.size() - 1), Error);
+  REQUIRE_THROWS_AS(inflate(Compressed, Text.size() + 1), Error);
+  REQUIRE_THROWS_AS(inflate(Compressed, MaxInflated + 1), Error);
   REQUIRE_THROWS_AS(
-      inflate(std::string_view(Short).substr(0, Short.size() / 2), Text.size()),
+      inflate(std::string_view(Compressed).substr(0, Compressed.size() / 2),
+              Text.size()),
       Error);
   REQUIRE_THROWS_AS(inflate("no such stream", 100), Error);
 }
--- a/tests/unit/EventLogTest.cpp
+++ b/tests/unit/EventLogTest.cpp
@@ -24,7 +24,7 @@
     if (Write_ >= 0)
       ::close(Write_);
   }
-  // Everything written so far, after the writing end is closed.
+  // Closes the write end and returns everything written so far.
   std::string all() {
     ::close(std::exchange(Write_, -1));
     std::string Out;
@@ -66,8 +66,8 @@
   REQUIRE_FALSE(All[0].contains("empty"));
 }
 
-// Whoever reads the process's output stops reading. Requests must not wait for
-// it; lines are lost, and the loss is told.
+// The reader of the process's output stalls. Requests must not wait for it;
+// lines are dropped, and the loss is reported.
 TEST_CASE("event log, when nobody reads it, never blocks and counts what it "
           "drops",
           "[log]") {
@@ -77,33 +77,33 @@
   O.BufferBytes_ = 32 * 1024;
   O.BytesPerSecond_ = 1e9;
   EventLog Log(O);
-  auto Begun = std::chrono::steady_clock::now();
+  auto StartedAt = std::chrono::steady_clock::now();
   std::chrono::steady_clock::duration Longest{};
   for (int N = 0; N < 20000; ++N) {
     auto At = std::chrono::steady_clock::now();
     Log.write(LogLine("request").count("n", static_cast<std::uint64_t>(N)));
     Longest = std::max(Longest, std::chrono::steady_clock::now() - At);
   }
-  REQUIRE(std::chrono::steady_clock::now() - Begun < Seconds(3));
+  REQUIRE(std::chrono::steady_clock::now() - StartedAt < Seconds(3));
   REQUIRE(Longest < Milliseconds(500));
   REQUIRE(Log.dropped() > 10000);
-  // The reader comes back and is told.
+  // The reader resumes and receives the report.
   ::fcntl(P.Read_, F_SETFL, O_NONBLOCK);
-  std::string Got;
+  std::string Received;
   char Buffer[65536];
-  auto Until = std::chrono::steady_clock::now() + Seconds(5);
-  while (Got.find("log_dropped") == std::string::npos &&
-         std::chrono::steady_clock::now() < Until) {
+  auto Deadline = std::chrono::steady_clock::now() + Seconds(5);
+  while (Received.find("log_dropped") == std::string::npos &&
+         std::chrono::steady_clock::now() < Deadline) {
     ssize_t N = ::read(P.Read_, Buffer, sizeof(Buffer));
     if (N > 0)
-      Got.append(Buffer, static_cast<std::size_t>(N));
+      Received.append(Buffer, static_cast<std::size_t>(N));
     else
       Log.write(LogLine("again"));
   }
-  REQUIRE(Got.find("log_dropped") != std::string::npos);
+  REQUIRE(Received.find("log_dropped") != std::string::npos);
 }
 
-TEST_CASE("event log, at several times its usual rate, keeps to its bound",
+TEST_CASE("event log, at several times its usual rate, stays within its limit",
           "[log]") {
   Pipe P;
   std::uint64_t Dropped = 0;
@@ -113,7 +113,7 @@
         {.Process_ = "p", .Descriptor_ = P.Write_, .BytesPerSecond_ = Bound});
     for (int N = 0; N < 600; ++N)
       Log.write(LogLine("request").text("request", std::string(100, 'x')));
-    // Important lines pass.
+    // Important lines bypass the rate limit.
     Log.write(LogLine("store_lost"), true);
     Dropped = Log.dropped();
   }
--- a/tests/unit/RuntimeTest.cpp
+++ b/tests/unit/RuntimeTest.cpp
@@ -11,19 +11,19 @@
 using namespace hawthornroad;
 
 namespace {
-constexpr auto Patience = Seconds(10);
+constexpr auto WaitTimeout = Seconds(10);
 
 template <class T> T await(std::future<T> &Future) {
-  REQUIRE(Future.wait_for(Patience) == std::future_status::ready);
+  REQUIRE(Future.wait_for(WaitTimeout) == std::future_status::ready);
   return Future.get();
 }
 
-// What a receiver was told about a frame and its sender.
-struct Question {
+// What the receiver learned about a frame and its sender.
+struct ReceivedFrame {
   wire::Body Body_ = wire::Body::NONE;
   ProcessName Process_;
   Lane Lane_ = Lane::Control;
-  bool operator==(const Question &) const = default;
+  bool operator==(const ReceivedFrame &) const = default;
 };
 
 // A server and a client on one loopback thread.
@@ -113,9 +113,10 @@
   REQUIRE(Streamed.Response_->Body_ == "one two");
 }
 
-TEST_CASE_METHOD(HttpFixture,
-                 "http body that the server aborts is an error, never short",
-                 "[http]") {
+TEST_CASE_METHOD(
+    HttpFixture,
+    "http body that the server aborts is an error, never a shorter body",
+    "[http]") {
   HttpServer Server(Io_, {}, [](HttpRequest, std::shared_ptr<HttpExchange> X) {
     X->head(200, {});
     X->write("half");
@@ -128,16 +129,18 @@
   REQUIRE(Result.Sent_);
 }
 
-TEST_CASE_METHOD(HttpFixture,
-                 "http client, when nothing listens, says nothing was sent",
-                 "[http]") {
+TEST_CASE_METHOD(
+    HttpFixture,
+    "http client, when nothing listens, reports that nothing was sent",
+    "[http]") {
   std::uint16_t Port = 0;
   {
-    HttpServer Gone(Io_, {}, [](HttpRequest, std::shared_ptr<HttpExchange>) {});
-    Port = Gone.listen("127.0.0.1", 0);
+    HttpServer ClosedServer(Io_, {},
+                            [](HttpRequest, std::shared_ptr<HttpExchange>) {});
+    Port = ClosedServer.listen("127.0.0.1", 0);
     std::promise<void> Closed;
     auto Future = Closed.get_future();
-    Gone.closeListener();
+    ClosedServer.closeListener();
     Io_.submit([&] { Closed.set_value(); });
     await(Future);
   }
@@ -164,7 +167,7 @@
 TEST_CASE("peer net carries a frame and its reply between two processes",
           "[peernet]") {
   IoThread Io("peers", 1024);
-  std::promise<Question> Asked;
+  std::promise<ReceivedFrame> Asked;
   std::promise<std::string> Got;
   PeerNet *ServerNet = nullptr;
   PeerNet Server(
@@ -189,9 +192,10 @@
   Pull.after = 41;
   REQUIRE(Client.send(PeerAddress("127.0.0.1:" + std::to_string(Port)),
                       Lane::Requests, makeFrame(std::move(Pull))));
-  auto Heard = Asked.get_future();
-  REQUIRE(await(Heard) ==
-          Question{wire::Body::ConfigPull, ProcessName("a"), Lane::Requests});
+  auto ReplyReceived = Asked.get_future();
+  REQUIRE(await(ReplyReceived) == ReceivedFrame{wire::Body::ConfigPull,
+                                                ProcessName("a"),
+                                                Lane::Requests});
   auto Future = Got.get_future();
   REQUIRE(await(Future) == "b 42");
   Io.stop();
@@ -212,11 +216,11 @@
   Io.stop();
 }
 
-// An entry marks a call as begun once its frame is on a connection. When the
-// refusal of the dial overtook the mark, the loss named no call, and the caller
-// was told "unknown" of a call that had never left.
-TEST_CASE("peer net, its dial refused, tells the loss after the mark of the "
-          "frame",
+// An entry marks a call as begun once its frame is on a connection. If the
+// refused connect is reported before the mark, the loss names no call, and the
+// caller gets the outcome "unknown" for a call that was never sent.
+TEST_CASE("peer net, its connect refused, reports the loss after the mark of "
+          "the frame",
           "[peernet]") {
   IoThread Io("peers", 1024);
   std::vector<std::string> Order;
@@ -232,62 +236,63 @@
                       makeFrame(wire::PingT()),
                       [&] { Order.push_back("mark"); }));
   auto Future = Lost.get_future();
-  REQUIRE(Future.wait_for(Patience) == std::future_status::ready);
+  REQUIRE(Future.wait_for(WaitTimeout) == std::future_status::ready);
   REQUIRE(Order == std::vector<std::string>{"mark", "lost"});
   Io.stop();
 }
 
-// A desk's call is handed to an agent that was killed a moment before. The
-// caller is told "unknown", though the agent was dead already: the closed
-// connection was in the kernel, its turn on the busy peers' thread not yet.
-TEST_CASE("peer net, its peer dead and the end not yet read, says that the "
+// An entry sends a call to an agent that was killed just before. The caller got
+// the outcome "unknown" although the agent was already dead: the kernel had the
+// closed connection, but the busy peers' thread had not processed it yet.
+TEST_CASE("peer net, its peer dead and the end not yet read, reports that the "
           "frame was not sent",
           "[peernet]") {
   IoThread Io("peers", 1024);
   auto ServerIo = std::make_unique<IoThread>("server", 1024);
-  // No ping of the server may stand before its end.
-  PeerNet::Limits Quiet;
-  Quiet.PingAfter_ = Quiet.DeadAfter_ = Seconds(60);
+  // The server must send no ping before it ends.
+  PeerNet::Limits NoPings;
+  NoPings.PingAfter_ = NoPings.DeadAfter_ = Seconds(60);
   PeerNet *ServerNet = nullptr;
   auto Server = std::make_unique<PeerNet>(
-      *ServerIo, PeerNet::Self{.Process_ = ProcessName("b")}, Quiet,
+      *ServerIo, PeerNet::Self{.Process_ = ProcessName("b")}, NoPings,
       PeerNet::Callbacks{
           .OnFrame_ = [&](const PeerContext &From, const wire::Frame &) {
             ServerNet->reply(From.Connection_, makeFrame(wire::ConfigPushT()));
           }});
   ServerNet = Server.get();
   PeerAddress To("127.0.0.1:" + std::to_string(Server->listen("127.0.0.1", 0)));
-  std::promise<void> Heard;
+  std::promise<void> ReplyReceived;
   std::vector<Step> Lost;
   std::promise<void> Refused;
-  PeerNet Client(Io, {.Process_ = ProcessName("a")}, Quiet,
-                 {.OnFrame_ = [&](const PeerContext &,
-                                  const wire::Frame &) { Heard.set_value(); },
-                  .OnLost_ =
-                      [&](const PeerContext &, const Error &E) {
-                        Lost.push_back(E.step());
-                        if (E.step() == Step::Connect)
-                          Refused.set_value();
-                      }});
+  PeerNet Client(
+      Io, {.Process_ = ProcessName("a")}, NoPings,
+      {.OnFrame_ = [&](const PeerContext &,
+                       const wire::Frame &) { ReplyReceived.set_value(); },
+       .OnLost_ =
+           [&](const PeerContext &, const Error &E) {
+             Lost.push_back(E.step());
+             if (E.step() == Step::Connect)
+               Refused.set_value();
+           }});
   REQUIRE(Client.send(To, Lane::Requests, makeFrame(wire::ConfigPullT())));
-  auto First = Heard.get_future();
-  REQUIRE(First.wait_for(Patience) == std::future_status::ready);
+  auto First = ReplyReceived.get_future();
+  REQUIRE(First.wait_for(WaitTimeout) == std::future_status::ready);
 
   std::promise<void> Blocked;
-  std::promise<void> GoOn;
+  std::promise<void> Unblock;
   REQUIRE(Io.submit([&] {
     Blocked.set_value();
-    GoOn.get_future().wait();
+    Unblock.get_future().wait();
   }));
   auto IsBlocked = Blocked.get_future();
-  REQUIRE(IsBlocked.wait_for(Patience) == std::future_status::ready);
+  REQUIRE(IsBlocked.wait_for(WaitTimeout) == std::future_status::ready);
   REQUIRE(Client.send(To, Lane::Requests, makeFrame(wire::ConfigPullT())));
   ServerIo->stop();
   Server.reset();
   ServerIo.reset();
-  GoOn.set_value();
+  Unblock.set_value();
   auto Outcome = Refused.get_future();
-  REQUIRE(Outcome.wait_for(Patience) == std::future_status::ready);
+  REQUIRE(Outcome.wait_for(WaitTimeout) == std::future_status::ready);
   REQUIRE(Lost == std::vector<Step>{Step::Receive, Step::Connect});
   Io.stop();
 }
