--- a/hawthornroad/runtime/AgentAttempts.cpp
+++ b/hawthornroad/runtime/AgentAttempts.cpp
@@ -97,7 +97,8 @@
   return makeFrame(std::move(M));
 }
 
-// Built without the object API: a byte vector would be copied once more.
+// Built without the FlatBuffers object API, which would copy the byte vector
+// once more.
 FrameBuffer frameOf(const SendData &A) {
   constexpr std::size_t Overhead = 128;
   flatbuffers::FlatBufferBuilder Builder(A.Bytes_.size() + Overhead);
@@ -183,7 +184,7 @@
 void AgentAttempts::begin(const PeerContext &From, wire::AttemptBeginT &Begin,
                           TimePoint Now) {
   BeginReceived E{specOf(Begin), From.Connection_};
-  // No entry sends these; HTTP has no way to write them.
+  // No correct entry sends an empty method or target: HTTP cannot express them.
   if (Begin.method.empty() || Begin.target.empty()) {
     onBeginDropped({E.Spec_.Attempt_, E.From_, E.Spec_.Request_}, Now);
     return;
@@ -223,13 +224,13 @@
       [&](const PauseRun &A) { Endpoint_.pause(A.Attempt_); },
       [&](const ResumeRun &A) { Endpoint_.resume(A.Attempt_); },
       [&](const ReleaseRun &A) { Endpoint_.release(A.Attempt_, A.Offset_); },
-      [&](const AttemptEnded &A) { note(A); },
+      [&](const AttemptEnded &A) { recordEnd(A); },
       [&](const SendRefused &A) {
-        noteRefusal(A, Request);
+        recordRefusal(A, Request);
         Net_.reply(A.To_, frameOf(A));
       },
-      // A frame the ring has no room for is lost like one lost with its
-      // connection: the entry sees the gap or the silence, and asks.
+      // When the ring is full the frame is dropped, as when its connection
+      // breaks: the entry detects the gap or the silence and sends a query.
       [&](const auto &A) {
         if (!Net_.reply(A.To_, frameOf(A)))
           Metrics_.count("hawthornroad_answer_frames_lost_total");
@@ -238,7 +239,7 @@
     std::visit(Perform, Each);
 }
 
-void AgentAttempts::note(const AttemptEnded &E) {
+void AgentAttempts::recordEnd(const AttemptEnded &E) {
   std::string Outcome = outcomeOf(E);
   std::string Priority(toString(E.Spec_.Priority_));
   Metrics::Labels Who{{"customer", E.Spec_.Customer_.str()},
@@ -262,8 +263,8 @@
        {"detail", E.Failure_ ? E.Failure_->Message_ : ""}});
 }
 
-void AgentAttempts::noteRefusal(const SendRefused &A,
-                                const RequestId &Request) {
+void AgentAttempts::recordRefusal(const SendRefused &A,
+                                  const RequestId &Request) {
   std::string Why(toString(A.Reason_));
   Metrics_.count("hawthornroad_attempts_refused_total", {{"reason", Why}});
   log(LogLevel::Info, Step::Run, "attempt refused",
--- a/hawthornroad/runtime/AgentAttempts.h
+++ b/hawthornroad/runtime/AgentAttempts.h
@@ -1,12 +1,12 @@
-// Joins AttemptTable to the wire and to the endpoint: frames and the
-// endpoint's events in, the table's actions out, with logs and metrics.
+// Connects AttemptTable to the peer connections and to the endpoint: passes
+// frames and endpoint events to the table, performs the actions that the table
+// returns, and records logs and metrics.
 //
-//   AgentAttempts Attempts(Setup, Loop, Net, EngineIo, Client, Metrics);
-//   if (Attempts.onFrame(From, Frame, Now)) return;   // an attempt's frame
-//   Attempts.setEndpoint(Facts);
-//   Attempts.tick(Now);
+//   AgentAttempts Attempts(Settings, Loop, Net, EngineIo, Client, Metrics);
+//   if (Attempts.onFrame(From, Frame, Now)) return;   // it was an attempt
+//   frame Attempts.setEndpoint(Facts); Attempts.tick(Now);
 //
-// Runs inside the DecisionLoop.
+// All methods run on the DecisionLoop's thread.
 
 #ifndef HAWTHORNROAD_RUNTIME_AGENTATTEMPTS_H
 #define HAWTHORNROAD_RUNTIME_AGENTATTEMPTS_H
@@ -26,7 +26,7 @@
   AgentAttempts(const AgentSettings &S, DecisionLoop &Loop, PeerNet &Net,
                 IoThread &EngineIo, HttpClient &Client, Metrics &M);
 
-  // True when Frame was an entry's word about an attempt.
+  // Returns true when Frame was a message from an entry about an attempt.
   bool onFrame(const PeerContext &From, wire::FrameT &Frame, TimePoint Now);
   void onBeginDropped(const BeginDropped &E, TimePoint Now);
   void onLost(const PeerContext &Peer, TimePoint Now);
@@ -41,11 +41,12 @@
 private:
   void begin(const PeerContext &From, wire::AttemptBeginT &Begin,
              TimePoint Now);
-  // Request and Call belong to the Begin that the actions answer, if one.
+  // Request and Call come from the AttemptBegin that caused the actions, if
+  // there is one.
   void perform(const AttemptActions &Actions, const RequestId &Request = {},
                EndpointCall *Call = nullptr);
-  void note(const AttemptEnded &E);
-  void noteRefusal(const SendRefused &A, const RequestId &Request);
+  void recordEnd(const AttemptEnded &E);
+  void recordRefusal(const SendRefused &A, const RequestId &Request);
 
   AttemptTable Table_;
   EndpointFacts Facts_;
--- a/hawthornroad/runtime/AgentCore.cpp
+++ b/hawthornroad/runtime/AgentCore.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
-// A fleet of hundreds reports twice a second each; the parts that look at the
-// whole fleet see the changes of this long together.
+// In a fleet of hundreds each endpoint reports twice a second, so changes are
+// batched for this long before the modules that read the whole fleet are
+// updated.
 constexpr Duration FleetPeriod = Milliseconds(100);
-// Between the good-bye to the peers and the end of the sockets.
+// Time between sending the leave messages and closing the sockets.
 constexpr Duration LeaveFlush = Milliseconds(200);
 
 DrainState::Limits drainLimits(const AgentSettings &S) {
@@ -20,7 +21,7 @@
   return L;
 }
 
-EndpointStatus identity(const AgentCore::Setup &S) {
+EndpointStatus initialStatus(const AgentCore::Setup &S) {
   EndpointStatus Status;
   Status.Vm_ = S.Settings_.Vm_;
   Status.Process_ = S.Settings_.Common_.Process_;
@@ -45,7 +46,7 @@
                W.WeightsIo_, W.OriginHttp_, W.Metrics_,
                {.OnChange_ =
                     [this](TimePoint Now) {
-                      noteStaged(Now);
+                      syncStagedVersions(Now);
                       refresh(Now);
                     }}),
       Engine_({Setup_.Settings_, Setup_.Incarnation_}, W.Loop_, W.EngineHttp_,
@@ -54,7 +55,7 @@
                .RunningAttempts_ = [this] { return Attempts_.running(); }}),
       Drain_(drainChart(Setup_.Settings_.Common_.Charts_),
              drainLimits(Setup_.Settings_)),
-      Status_(identity(Setup_)) {}
+      Status_(initialStatus(Setup_)) {}
 
 ControlPlane::Callbacks AgentCore::controlCallbacks() {
   ControlPlane::Callbacks C;
@@ -128,11 +129,11 @@
   if (S == nullptr)
     log(LogLevel::Warning, Step::Apply, "no service is declared for this VM",
         {{"vm", Setup_.Settings_.Vm_.str()}, {"revision", std::to_string(R)}});
-  Engine_.setWish(S, R, Now);
+  Engine_.setDesiredService(S, R, Now);
   if (S != nullptr && S->Model_)
     Weights_.want({S->Name_, *S->Model_, S->Rollout_}, Now);
   FleetChanged_ = true;
-  noteStaged(Now);
+  syncStagedVersions(Now);
   refresh(Now);
 }
 
@@ -149,41 +150,41 @@
   refresh(Now);
 }
 
-void AgentCore::noteStaged(TimePoint Now) {
+void AgentCore::syncStagedVersions(TimePoint Now) {
   const Service *S = service();
   if (S == nullptr || !S->Model_)
     return;
-  // All that is staged, not only the wanted version: an agent replaced in the
-  // middle of a rollout must be able to load the old one again if the new one
+  // Includes all staged versions, not only the wanted one: an agent replaced
+  // during a rollout must be able to load the old version again if the new one
   // fails.
   std::set<VersionDigest> Staged;
   for (const VersionDigest &Version : Weights_.staged())
     if (auto Path = Weights_.pathOf(Version)) {
-      Engine_.noteStaged(Version, *Path, Now);
+      Engine_.setStagedPath(Version, *Path, Now);
       Staged.insert(Version);
     }
-  for (const VersionDigest &Version : NotedStaged_)
+  for (const VersionDigest &Version : ReportedStaged_)
     if (!Staged.contains(Version))
-      Engine_.noteStaged(Version, "", Now);
-  NotedStaged_ = std::move(Staged);
+      Engine_.setStagedPath(Version, "", Now);
+  ReportedStaged_ = std::move(Staged);
 }
 
 void AgentCore::updateFleet(TimePoint Now) {
-  if (!FleetChanged_ || Now - FleetAt_ < FleetPeriod)
+  if (!FleetChanged_ || Now - FleetUpdatedAt_ < FleetPeriod)
     return;
   FleetChanged_ = false;
-  FleetAt_ = Now;
+  FleetUpdatedAt_ = Now;
   const Service *S = service();
-  std::vector<EndpointStatus> Same;
+  std::vector<EndpointStatus> SameService;
   std::vector<WeightPeer> Sources;
   for (const auto &[Name, Each] : Fleet_) {
     if (S == nullptr || Each.Service_ != S->Name_)
       continue;
-    Same.push_back(Each);
+    SameService.push_back(Each);
     if (!Each.WeightsAddress_.empty() && Each.Phase_ != EndpointPhase::Left)
       Sources.push_back({Each.Vm_, Each.Zone_, Each.WeightsAddress_});
   }
-  Engine_.setFleet(Same, Now);
+  Engine_.setFleet(SameService, Now);
   Weights_.setPeers(std::move(Sources), Now);
 }
 
@@ -205,14 +206,14 @@
   return From;
 }
 
-// The attempts see each change before any peer does: work refused here is not
-// run, whatever the entries still believe.
+// Updates Attempts_ before any peer is told: work that is refused here is not
+// run, even while entries still hold an older status.
 void AgentCore::refresh(TimePoint Now) {
   EndpointStatus Fresh = endpointStatus(Status_, sources());
-  bool News = isUrgent(Fresh, Status_);
+  bool Changed = isUrgent(Fresh, Status_);
   Status_ = std::move(Fresh);
   Attempts_.setEndpoint(endpointFacts(Status_, service()));
-  if (News || Now - PublishedAt_ >= Setup_.Settings_.ReportPeriod_)
+  if (Changed || Now - PublishedAt_ >= Setup_.Settings_.ReportPeriod_)
     publish(Now);
 }
 
@@ -222,7 +223,7 @@
   Control_.publish(Status_, Now);
 }
 
-void AgentCore::drain(const DrainActions &Actions, TimePoint Now) {
+void AgentCore::applyDrainActions(const DrainActions &Actions, TimePoint Now) {
   for (DrainAction Each : Actions) {
     switch (Each) {
     case DrainAction::Publish:
@@ -247,11 +248,13 @@
   Attempts_.tick(Now);
   updateFleet(Now);
   refresh(Now);
-  drain(Drain_.tick({Attempts_.running(), Attempts_.unacknowledged()}, Now),
-        Now);
+  applyDrainActions(
+      Drain_.tick({Attempts_.running(), Attempts_.unacknowledged()}, Now), Now);
 }
 
-void AgentCore::stop(TimePoint Now) { drain(Drain_.stop(Now), Now); }
+void AgentCore::stop(TimePoint Now) {
+  applyDrainActions(Drain_.stop(Now), Now);
+}
 
 bool AgentCore::hasLeft(TimePoint Now) const {
   return LeftAt_ && Now - *LeftAt_ >= LeaveFlush;
--- a/hawthornroad/runtime/AgentCore.h
+++ b/hawthornroad/runtime/AgentCore.h
@@ -1,5 +1,5 @@
-// What an agent decides and knows, inside its DecisionLoop: its parts and the
-// way events pass between them.
+// The state and decisions of an agent on its DecisionLoop: owns the agent's
+// modules and routes events between them.
 //
 //   AgentCore Core(Setup, Wiring);
 //   Loop.post([&](TimePoint Now) { Core.start(Now); });
@@ -8,10 +8,10 @@
 //   Core.tick(Now);
 //   Core.stop(Now);                         // planned stop; then hasLeft()
 //
-// A declaration sets the engine's and the transfer's wish and the limits; a
-// staged version goes to the engine's control; the fleet view feeds turns and
-// chunk sources; each change of the endpoint is published at once, and its
-// load each report period.
+// A declaration sets the limits and the desired version of EngineControl and
+// WeightTransfer. EngineControl is told of each staged version. The known
+// endpoints of the fleet determine rollout turns and chunk sources. A change of
+// this endpoint is published at once, its load once per report period.
 
 #ifndef HAWTHORNROAD_RUNTIME_AGENTCORE_H
 #define HAWTHORNROAD_RUNTIME_AGENTCORE_H
@@ -32,11 +32,11 @@
   struct Setup {
     AgentSettings Settings_;
     Incarnation Incarnation_ = 0;
-    // The listeners as peers reach them.
+    // Addresses at which peers reach the listeners.
     PeerAddress Peers_;
     PeerAddress Weights_;
   };
-  // The threads' ends; all outlive the core.
+  // Threads, clients and connections to use; all must outlive the core.
   struct Wiring {
     ActorSystem &System_;
     DecisionLoop &Loop_;
@@ -65,7 +65,8 @@
 
   // Begins the planned stop; a second call changes nothing.
   void stop(TimePoint Now);
-  // The planned stop is through and the good-byes have had time to go out.
+  // True when the planned stop is complete and the leave messages have had time
+  // to be sent.
   bool hasLeft(TimePoint Now) const;
   bool isReady() const { return Status_.Phase_ == EndpointPhase::Ready; }
   boost::json::object status(TimePoint Now) const;
@@ -77,12 +78,12 @@
   void onEndpoint(const EndpointStatus &S);
   void onEndpointGone(const Vm &V, Incarnation I);
   void onEngineChange(TimePoint Now);
-  void noteStaged(TimePoint Now);
+  void syncStagedVersions(TimePoint Now);
   void updateFleet(TimePoint Now);
   EndpointSources sources() const;
   void refresh(TimePoint Now);
   void publish(TimePoint Now);
-  void drain(const DrainActions &Actions, TimePoint Now);
+  void applyDrainActions(const DrainActions &Actions, TimePoint Now);
   const Service *service() const;
 
   Setup Setup_;
@@ -93,16 +94,16 @@
   EngineControl Engine_;
   DrainState Drain_;
   std::shared_ptr<const Declaration> Declaration_;
-  // As last told to the peers, but for the load.
+  // As last published to the peers, except for the load.
   EndpointStatus Status_;
   TimePoint PublishedAt_;
   VersionDigest Loaded_;
   VersionDigest LoadedBefore_;
-  // Staged versions that the engine control was told of.
-  std::set<VersionDigest> NotedStaged_;
+  // Staged versions last passed to EngineControl.
+  std::set<VersionDigest> ReportedStaged_;
   std::map<Vm, EndpointStatus> Fleet_;
   bool FleetChanged_ = false;
-  TimePoint FleetAt_;
+  TimePoint FleetUpdatedAt_;
   std::optional<TimePoint> LeftAt_;
 };
 
--- a/hawthornroad/runtime/AgentProcess.cpp
+++ b/hawthornroad/runtime/AgentProcess.cpp
@@ -21,13 +21,13 @@
 constexpr std::size_t LoopRing = 16384;
 constexpr Duration LoopTick = Milliseconds(20);
 
-Incarnation startNumber() {
+Incarnation newIncarnation() {
   auto Since = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<Incarnation>(
       std::chrono::duration_cast<std::chrono::nanoseconds>(Since).count());
 }
 
-// Returns the "IP:port" it got.
+// Returns the "IP:port" that Listener is bound to.
 template <class ListenerT>
 std::string listenAt(ListenerT &Listener, const std::string &Address) {
   auto Endpoint = parseAddress(Address, Step::Listen);
@@ -41,9 +41,9 @@
   return {S.Common_.Process_, I, S.Common_.Zone_, "agent", Advertise};
 }
 
-// The address peers reach a listener at.
-PeerAddress reachedAt(const std::string &Listener,
-                      const std::string &Advertise) {
+// The address at which peers reach a listener.
+PeerAddress advertisedAddress(const std::string &Listener,
+                              const std::string &Advertise) {
   return PeerAddress(Advertise.empty() ? Listener : Advertise);
 }
 
@@ -53,8 +53,8 @@
   explicit State(const AgentSettings &S);
   ~State();
 
-  FrameFeed::Callbacks peersFeed();
-  FrameFeed::Callbacks weightsFeed();
+  FrameFeed::Callbacks peerFeedCallbacks();
+  FrameFeed::Callbacks weightsFeedCallbacks();
   PeerNet::Callbacks feedTo(FrameFeed &Feed);
   AdminServer::Hooks adminHooks();
   void start(TimePoint Now);
@@ -62,7 +62,7 @@
   bool postStop();
 
   AgentSettings Settings_;
-  Incarnation Incarnation_ = startNumber();
+  Incarnation Incarnation_ = newIncarnation();
   Metrics Metrics_;
   IoThread PeersIo_{"peers", IoRing};
   IoThread WeightsIo_{"weights", IoRing};
@@ -82,12 +82,12 @@
   std::string PeersAddress_;
   std::string WeightsAddress_;
   std::string AdminAddress_;
-  // Made after the listeners, whose addresses it tells; used only inside the
-  // loop and only once IsStarted_.
+  // Constructed after the listeners, since it publishes their addresses. Used
+  // only on the loop's thread and only after IsStarted_ is set.
   std::unique_ptr<AgentCore> Core_;
   bool IsStarted_ = false;
-  bool IsStopAsked_ = false;
-  bool IsLeftTold_ = false;
+  bool IsStopRequested_ = false;
+  bool IsLeftSignalled_ = false;
   std::atomic<bool> IsReady_{false};
   std::promise<void> Left_;
 };
@@ -95,8 +95,8 @@
 AgentProcess::State::State(const AgentSettings &S)
     : Settings_(S), Loop_(std::make_unique<DecisionLoop>(System_, "decisions",
                                                          LoopTick, LoopRing)),
-      PeersFeed_(PeersIo_, *Loop_, Metrics_, peersFeed()),
-      WeightsFeed_(WeightsIo_, *Loop_, Metrics_, weightsFeed()),
+      PeersFeed_(PeersIo_, *Loop_, Metrics_, peerFeedCallbacks()),
+      WeightsFeed_(WeightsIo_, *Loop_, Metrics_, weightsFeedCallbacks()),
       Peers_(PeersIo_, selfOf(S, Incarnation_, S.Common_.PeerAdvertise_), {},
              feedTo(PeersFeed_)),
       WeightsNet_(WeightsIo_, selfOf(S, Incarnation_, S.WeightsAdvertise_), {},
@@ -106,17 +106,18 @@
       WeightsAddress_(listenAt(WeightsNet_, S.WeightsListen_)),
       AdminAddress_(listenAt(Admin_, S.Common_.AdminListen_)) {
   Core_ = std::make_unique<AgentCore>(
-      AgentCore::Setup{S, Incarnation_,
-                       reachedAt(PeersAddress_, S.Common_.PeerAdvertise_),
-                       reachedAt(WeightsAddress_, S.WeightsAdvertise_)},
+      AgentCore::Setup{
+          S, Incarnation_,
+          advertisedAddress(PeersAddress_, S.Common_.PeerAdvertise_),
+          advertisedAddress(WeightsAddress_, S.WeightsAdvertise_)},
       AgentCore::Wiring{System_, *Loop_, Peers_, WeightsNet_, WeightsIo_,
                         EngineIo_, EngineHttp_, PlatformHttp_, OriginHttp_,
                         Metrics_});
   Loop_->post([this](TimePoint Now) { start(Now); });
 }
 
-// Threads that feed the loop stop first, then the loop; what its closures
-// touch is destroyed after it.
+// Stops the threads that post to the loop first, then the loop. The objects
+// that the loop's closures use are destroyed after it.
 AgentProcess::State::~State() {
   for (IoThread *Each :
        {&AdminIo_, &PeersIo_, &WeightsIo_, &EngineIo_, &PlatformIo_})
@@ -127,7 +128,7 @@
 void AgentProcess::State::start(TimePoint Now) {
   IsStarted_ = true;
   Core_->start(Now);
-  if (IsStopAsked_)
+  if (IsStopRequested_)
     Core_->stop(Now);
   Loop_->onTick([this](TimePoint At) { tick(At); });
 }
@@ -135,13 +136,13 @@
 void AgentProcess::State::tick(TimePoint Now) {
   Core_->tick(Now);
   IsReady_.store(Core_->isReady());
-  if (IsLeftTold_ || !Core_->hasLeft(Now))
+  if (IsLeftSignalled_ || !Core_->hasLeft(Now))
     return;
-  IsLeftTold_ = true;
+  IsLeftSignalled_ = true;
   Left_.set_value();
 }
 
-FrameFeed::Callbacks AgentProcess::State::peersFeed() {
+FrameFeed::Callbacks AgentProcess::State::peerFeedCallbacks() {
   FrameFeed::Callbacks C;
   C.OnFrame_ = [this](const PeerContext &From, wire::FrameT &F, TimePoint Now) {
     if (IsStarted_)
@@ -158,13 +159,14 @@
   return C;
 }
 
-FrameFeed::Callbacks AgentProcess::State::weightsFeed() {
+FrameFeed::Callbacks AgentProcess::State::weightsFeedCallbacks() {
   FrameFeed::Callbacks C;
   C.OnFrame_ = [this](const PeerContext &From, wire::FrameT &F, TimePoint Now) {
     if (IsStarted_)
       Core_->onWeightsFrame(From, F, Now);
   };
-  // No request belongs on this listener: it is neither run nor answered.
+  // Requests are not accepted on this listener: they are neither run nor
+  // answered.
   C.OnBeginDropped_ = [](const BeginDropped &, TimePoint) {};
   C.OnLost_ = [this](const PeerContext &Peer, TimePoint Now) {
     if (IsStarted_)
@@ -211,7 +213,7 @@
 
 bool AgentProcess::State::postStop() {
   return Loop_->post([this](TimePoint Now) {
-    IsStopAsked_ = true;
+    IsStopRequested_ = true;
     IsReady_.store(false);
     if (IsStarted_)
       Core_->stop(Now);
@@ -233,7 +235,8 @@
 }
 
 void AgentProcess::stop() {
-  // A full ring empties within milliseconds; a stop must not be lost.
+  // Retries while the ring is full, which lasts milliseconds: a stop must not
+  // be lost.
   while (!State_->postStop())
     std::this_thread::sleep_for(LoopTick);
 }
--- a/hawthornroad/runtime/AgentProcess.h
+++ b/hawthornroad/runtime/AgentProcess.h
@@ -1,18 +1,19 @@
-// One agent: the only process that speaks to the engine or service of its VM.
+// One agent: the only process that calls the engine or service of its VM.
 //
 //   AgentProcess Agent(AgentSettings::load(File));    // listens, or throws
 //   printReady(Agent.readyLine());
 //   Agent.stop();                // SIGTERM, POST /drain: leaves when done
 //   Agent.waitUntilLeft();
 //
-// It only joins parts and moves events between them; what is decided stands in
+// Only connects modules and passes events between them. Decisions are made in
 // AgentAttempts (requests), ControlPlane (membership, configuration),
 // WeightTransfer (weights) and EngineControl (orders to the engine).
 //
-// Threads, joined by bounded rings: "peers" carries requests and control
-// frames, "weights" chunks and files, so that bulk never delays a request;
-// "engine" calls the endpoint, "platform" the table and the membership list,
-// "admin" answers operators; all decisions run on the DecisionLoop's.
+// Threads, connected by bounded rings: "peers" carries requests and control
+// frames; "weights" carries chunks and files, so that bulk transfers never
+// delay a request; "engine" calls the endpoint; "platform" reads the table and
+// the membership list; "admin" answers operators. All decisions run on the
+// DecisionLoop's thread.
 
 #ifndef HAWTHORNROAD_RUNTIME_AGENTPROCESS_H
 #define HAWTHORNROAD_RUNTIME_AGENTPROCESS_H
@@ -26,7 +27,7 @@
 
 class AgentProcess {
 public:
-  // Opens all listeners and begins to join. Throws Error.
+  // Opens all listeners and starts joining the fleet. Throws Error.
   explicit AgentProcess(const AgentSettings &S);
   ~AgentProcess();
   AgentProcess(const AgentProcess &) = delete;
@@ -36,7 +37,7 @@
   boost::json::object readyLine() const;
   // Begins the planned stop; thread-safe, a second call changes nothing.
   void stop();
-  // Returns when the planned stop is through.
+  // Blocks until the planned stop is complete.
   void waitUntilLeft();
 
 private:
@@ -44,7 +45,7 @@
   std::unique_ptr<State> State_;
 };
 
-// Loads the settings and all charts; throws Error when any is at fault.
+// Loads the settings and all charts; throws Error when any of them is invalid.
 void checkAgentSettings(const std::string &File);
 
 } // namespace hawthornroad
--- a/hawthornroad/runtime/ControlPlane.cpp
+++ b/hawthornroad/runtime/ControlPlane.cpp
@@ -17,7 +17,7 @@
 
 Random makeRandom(const ControlPlane::Setup &S) {
   std::uint64_t Seed = seedOr(S.Settings_.RandomSeed_);
-  // Processes that share a seed must still not choose alike.
+  // Processes with the same seed must still make different random choices.
   return Random(Seed ^ rendezvousScore("seed", S.Settings_.Process_.str()));
 }
 
@@ -60,11 +60,11 @@
             coreSetup(Setup_), makeRandom(Setup_)) {}
 
   void tick(TimePoint Now);
-  void finish(ControlCore::Output &Out, TimePoint Now);
+  void performOutput(ControlCore::Output &Out, TimePoint Now);
   void read(const ConfigRead &Read);
   void readList();
-  void tell(const MemberChange &Change, TimePoint Now);
-  void putInForce(TimePoint Now);
+  void reportChange(const MemberChange &Change, TimePoint Now);
+  void applyHeldRevision(TimePoint Now);
   void send(const ControlSend &Send);
 
   Setup Setup_;
@@ -75,37 +75,38 @@
   PlatformTable Platform_;
   ControlCore Core_;
   bool Started_ = false;
-  bool SaidReady_ = false;
+  bool IsReadyLogged_ = false;
   Revision InForce_ = 0;
-  // Why the text held is not in force; empty when it is.
+  // Why the held text is not in force; empty when it is.
   std::string Refusal_;
-  // Set while a frame is handled: what goes back to its sender takes the
-  // connection the frame came on.
+  // Set while a frame is handled: replies to its sender use the connection on
+  // which the frame arrived.
   const PeerContext *ReplyTo_ = nullptr;
 };
 
 void ControlPlane::State::tick(TimePoint Now) {
   ControlCore::Output Out;
   Core_.tick(Now, Out);
-  finish(Out, Now);
-  if (SaidReady_ || !Core_.ready())
+  performOutput(Out, Now);
+  if (IsReadyLogged_ || !Core_.ready())
     return;
-  SaidReady_ = true;
+  IsReadyLogged_ = true;
   log(LogLevel::Info, Step::Apply, "holds the highest revision it can reach",
       {{"revision", std::to_string(Core_.config().log().revision())}});
 }
 
-void ControlPlane::State::finish(ControlCore::Output &Out, TimePoint Now) {
+void ControlPlane::State::performOutput(ControlCore::Output &Out,
+                                        TimePoint Now) {
   for (const ControlSend &Each : Out.Sends_)
     send(Each);
   for (const MemberChange &Each : Out.Changes_)
-    tell(Each, Now);
+    reportChange(Each, Now);
   if (Out.Read_)
     read(*Out.Read_);
   if (Out.ReadList_)
     readList();
   if (Out.Advanced_)
-    putInForce(Now);
+    applyHeldRevision(Now);
 }
 
 void ControlPlane::State::read(const ConfigRead &Read) {
@@ -119,7 +120,7 @@
           Self->Metrics_.count("hawthornroad_table_read_failures_total");
         ControlCore::Output Out;
         Self->Core_.tableAnswered(Answer, Now, Out);
-        Self->finish(Out, Now);
+        Self->performOutput(Out, Now);
       });
 }
 
@@ -138,7 +139,8 @@
   });
 }
 
-void ControlPlane::State::tell(const MemberChange &Change, TimePoint Now) {
+void ControlPlane::State::reportChange(const MemberChange &Change,
+                                       TimePoint Now) {
   const Member *Who = Core_.table().find(Change.Process_);
   bool Live = Who != nullptr && Who->isLive();
   if (Change.Kind_ != Kind::Reported && Change.Kind_ != Kind::Revised) {
@@ -151,7 +153,8 @@
   switch (Change.Kind_) {
   case Kind::Reported:
   case Kind::Returned:
-    // Late word of a member held dead must not bring its endpoint back.
+    // A delayed report of a member considered dead must not bring its endpoint
+    // back.
     if (Live && Change.Report_ && Callbacks_.OnEndpoint_)
       Callbacks_.OnEndpoint_(*Change.Report_, Now);
     return;
@@ -167,31 +170,32 @@
   }
 }
 
-// A text this release cannot read (a newer operator's tool wrote it) is held
-// and passed on, but the last good one stays in force, and status says so.
-void ControlPlane::State::putInForce(TimePoint Now) {
+// A text that this release cannot parse (written by a newer operator tool) is
+// stored and passed on to peers, but the last valid one stays in force, and
+// status() reports the reason.
+void ControlPlane::State::applyHeldRevision(TimePoint Now) {
   const RevisionLog &Log = Core_.config().log();
   std::string Name = "revision " + std::to_string(Log.revision());
   Net_.setRevision(Log.revision());
-  std::shared_ptr<const Declaration> Made;
+  std::shared_ptr<const Declaration> NewDeclaration;
   try {
-    Made = parseDeclaration(canonicalText(Log.text()), Name);
+    NewDeclaration = parseDeclaration(canonicalText(Log.text()), Name);
     Refusal_.clear();
   } catch (const Error &E) {
     Refusal_ = E.what();
     log(LogLevel::Error, Step::Apply, "text held is not in force",
         {{"revision", std::to_string(Log.revision())}, {"detail", Refusal_}});
   }
-  if (Made)
+  if (NewDeclaration)
     InForce_ = Log.revision();
   Core_.setInForce(InForce_);
   Metrics_.set("hawthornroad_revision", static_cast<double>(InForce_));
-  if (!Made)
+  if (!NewDeclaration)
     return;
   log(LogLevel::Info, Step::Apply, "revision in force",
       {{"revision", std::to_string(InForce_)}});
   if (Callbacks_.OnDeclaration_)
-    Callbacks_.OnDeclaration_(std::move(Made), InForce_);
+    Callbacks_.OnDeclaration_(std::move(NewDeclaration), InForce_);
 }
 
 void ControlPlane::State::send(const ControlSend &Send) {
@@ -233,7 +237,7 @@
   ControlCore::Output Out;
   State_->Core_.handle(From.Address_, *Message, Now, Out);
   State_->ReplyTo_ = &From;
-  State_->finish(Out, Now);
+  State_->performOutput(Out, Now);
   State_->ReplyTo_ = nullptr;
   return true;
 }
@@ -241,13 +245,13 @@
 void ControlPlane::publish(const EndpointStatus &Status, TimePoint Now) {
   ControlCore::Output Out;
   State_->Core_.publish(Status, Now, Out);
-  State_->finish(Out, Now);
+  State_->performOutput(Out, Now);
 }
 
 void ControlPlane::leave(TimePoint Now) {
   ControlCore::Output Out;
   State_->Core_.leave(Now, Out);
-  State_->finish(Out, Now);
+  State_->performOutput(Out, Now);
 }
 
 bool ControlPlane::ready() const { return State_->Core_.ready(); }
--- a/hawthornroad/runtime/ControlPlane.h
+++ b/hawthornroad/runtime/ControlPlane.h
@@ -1,4 +1,4 @@
-// Membership and configuration of one process, entry or agent alike.
+// Membership and configuration of one process, entry or agent.
 //
 //   ControlPlane Control(Setup, Loop, Net, Platform, Metrics, {
 //       .OnDeclaration_ = [&](std::shared_ptr<const Declaration> D, Revision R)
@@ -6,15 +6,16 @@
 //       .OnEndpoint_ = [&](const EndpointStatus &S, TimePoint Now) {...},
 //       .OnEndpointGone_ = [&](const Vm &V, Incarnation I, TimePoint Now)
 //           {...}});
-//   Control.start();
+//   Control.start(Now);
 //
-// Everything runs inside the DecisionLoop: start(), onFrame(), publish() and
-// the callbacks. The control plane dials and gossips through Net and reads the
-// platform through Platform; what it decides stands in membership/ and config/.
+// start(), onFrame(), publish() and the callbacks all run on the DecisionLoop's
+// thread. The control plane connects and gossips through Net and reads the
+// platform through Platform; the decisions are made in membership/ and config/.
 //
-// Guarantees: OnDeclaration_ is called with rising revisions only. ready() is
-// true once the process holds the highest revision it could reach: it has asked
-// the platform and several peers, or given up on those that do not answer.
+// Guarantees: OnDeclaration_ is called with increasing revisions only. ready()
+// is true once the process holds the highest revision it can reach: it has
+// asked the platform and several peers, and those that did not answer have
+// timed out.
 
 #ifndef HAWTHORNROAD_RUNTIME_CONTROLPLANE_H
 #define HAWTHORNROAD_RUNTIME_CONTROLPLANE_H
@@ -41,13 +42,13 @@
     ProcessSettings Settings_;
     Incarnation Incarnation_ = 0;
     std::string Role_; // "entry" or "agent"
-    // The address peers reach this process at.
+    // The address at which peers reach this process.
     PeerAddress Address_;
   };
   struct Callbacks {
     std::function<void(std::shared_ptr<const Declaration>, Revision)>
         OnDeclaration_;
-    // Later word of an endpoint, from its agent or through gossip.
+    // A newer status of an endpoint, from its agent or through gossip.
     std::function<void(const EndpointStatus &, TimePoint)> OnEndpoint_;
     // The agent of V with this incarnation is dead or has left.
     std::function<void(const Vm &, Incarnation, TimePoint)> OnEndpointGone_;
@@ -59,23 +60,24 @@
   ControlPlane(const ControlPlane &) = delete;
   ControlPlane &operator=(const ControlPlane &) = delete;
 
-  // Joins: asks seeds, the membership list and the table.
+  // Starts joining: contacts seeds and reads the membership list and the table.
   void start(TimePoint Now);
-  // Takes Hello-independent control frames: Probe, ProbeAck, Gossip,
-  // ConfigPull, ConfigPush, EndpointReport. True when the frame was one.
+  // Handles the control frames other than Hello: Probe, ProbeAck, Gossip,
+  // ConfigPull, ConfigPush, EndpointReport. Returns true when Frame was one.
   bool onFrame(const PeerContext &From, const wire::FrameT &Frame,
                TimePoint Now);
-  // Agents: tells the entries of the zone at once, and gossip later.
+  // For agents: sends Status to the entries of the zone at once, and to others
+  // through gossip.
   void publish(const EndpointStatus &Status, TimePoint Now);
-  // Tells peers that this process leaves of its own will.
+  // Tells peers that this process is leaving as planned.
   void leave(TimePoint Now);
 
   bool ready() const;
   Revision revision() const;
-  // Entries believed alive, this process included when it is one: they share
-  // the customers' limits.
+  // Number of entries considered alive, including this process when it is one.
+  // The customers' limits are divided among them.
   std::size_t liveEntries() const;
-  // Members, revisions applied by each, platform state: for /status.
+  // Members, the revision applied by each, and platform state, for /status.
   boost::json::object status(TimePoint Now) const;
 
 private:
--- a/hawthornroad/runtime/ControlStatus.h
+++ b/hawthornroad/runtime/ControlStatus.h
@@ -1,17 +1,17 @@
-// The control plane's part of /status, as operators and hawthornroadctl read
-// it:
+// The control plane's section of /status, which operators and hawthornroadctl
+// read:
 //
 //   {"process": P, "incarnation": I, "ready": B, "reader": B,
 //    "revision": R,             // in force in this process
-//    "held": R, "highest": R,   // held here; highest heard of
-//    "refusal": TEXT,           // why what is held is not in force, or ""
+//    "held": R, "highest": R,   // held here; highest known to exist
+//    "refusal": TEXT,           // why the held text is not in force, or ""
 //    "behind": [P, ...],        // live members where R < highest is in force
 //    "members": [{"process", "state", "role", "zone", "address",
 //                 "incarnation", "revision", "endpoint": {...}}, ...],
 //    "platform": {"reads", "failures", "failures_in_row", "answered_ms_ago"}}
 //
-// This process is the first of the members. "answered_ms_ago" is -1 when the
-// platform has not answered yet; in a process that is no reader it grows.
+// This process is the first of the members. "answered_ms_ago" is -1 until the
+// platform has answered; in a process that is not a reader it keeps growing.
 
 #ifndef HAWTHORNROAD_RUNTIME_CONTROLSTATUS_H
 #define HAWTHORNROAD_RUNTIME_CONTROLSTATUS_H
--- a/hawthornroad/runtime/EndpointClient.cpp
+++ b/hawthornroad/runtime/EndpointClient.cpp
@@ -14,20 +14,21 @@
 namespace {
 
 constexpr Duration CancelTimeout = Seconds(2);
-constexpr Duration RetryPost = Milliseconds(2);
-
-// Fields of one connection (RFC 9110, 7.6.1) and of its framing.
-constexpr std::array<std::string_view, 11> HopHeaders = {"connection",
-                                                         "keep-alive",
-                                                         "proxy-connection",
-                                                         "proxy-authenticate",
-                                                         "te",
-                                                         "trailer",
-                                                         "transfer-encoding",
-                                                         "upgrade",
-                                                         "host",
-                                                         "proxy-authorization",
-                                                         "content-length"};
+constexpr Duration PostRetryDelay = Milliseconds(2);
+
+// Hop-by-hop header fields (RFC 9110, 7.6.1) and framing fields.
+constexpr std::array<std::string_view, 11> HopByHopHeaders = {
+    "connection",
+    "keep-alive",
+    "proxy-connection",
+    "proxy-authenticate",
+    "te",
+    "trailer",
+    "transfer-encoding",
+    "upgrade",
+    "host",
+    "proxy-authorization",
+    "content-length"};
 
 std::string lowerCase(std::string Text) {
   std::transform(Text.begin(), Text.end(), Text.begin(),
@@ -36,11 +37,11 @@
 }
 
 bool isHopHeader(const std::string &Lower) {
-  return std::find(HopHeaders.begin(), HopHeaders.end(), Lower) !=
-         HopHeaders.end();
+  return std::find(HopByHopHeaders.begin(), HopByHopHeaders.end(), Lower) !=
+         HopByHopHeaders.end();
 }
 
-// Engine-* headers are orders of the system; a caller's own are dropped.
+// Engine-* headers are set by this system only; those from callers are dropped.
 bool isOurs(const std::string &Lower) {
   return Lower.starts_with("engine-") || Lower == "idempotency-key";
 }
@@ -76,7 +77,7 @@
   return Kept;
 }
 
-// One call on the IoThread. Everything but the constructor runs there.
+// One call. All methods but the constructor run on the IoThread.
 class EndpointClient::Run
     : public std::enable_shared_from_this<EndpointClient::Run> {
 public:
@@ -86,7 +87,7 @@
 
   void begin() {
     HttpClient::Options Options;
-    Options.IdleTimeout_ = Owner_.Setup_.Idle_;
+    Options.IdleTimeout_ = Owner_.Setup_.IdleTimeout_;
     HttpClient::Callbacks C;
     C.OnHead_ = [Self = shared_from_this()](const HttpResponse &R) {
       Self->onHead(R);
@@ -125,15 +126,15 @@
         Attempt_,
         {R.Status_, answerHeaders(R.Headers_),
          VersionDigest(findHeader(R.Headers_, "Engine-Version").value_or(""))}};
-    pass([Owner = &Owner_, E = std::move(E)](TimePoint Now) {
+    postOrQueue([Owner = &Owner_, E = std::move(E)](TimePoint Now) {
       Owner->Callbacks_.OnHead_(E, Now);
     });
   }
 
   void onData(std::string Bytes) {
     Window_.take(Bytes.size());
-    pass([Owner = &Owner_,
-          E = DataReceived{Attempt_, std::move(Bytes)}](TimePoint Now) mutable {
+    postOrQueue([Owner = &Owner_, E = DataReceived{Attempt_, std::move(Bytes)}](
+                    TimePoint Now) mutable {
       Owner->Callbacks_.OnData_(std::move(E), Now);
     });
   }
@@ -142,12 +143,12 @@
     if (R.Error_ && R.Sent_)
       cancelAtEngine();
     RunEnded E{Attempt_, std::move(R.Error_), R.Sent_};
-    pass([Owner = &Owner_, E = std::move(E)](TimePoint Now) {
+    postOrQueue([Owner = &Owner_, E = std::move(E)](TimePoint Now) {
       Owner->ended(E, Now);
     });
   }
 
-  void pass(DecisionLoop::Work Work) {
+  void postOrQueue(DecisionLoop::Work Work) {
     if (Stopped_)
       return;
     Backlog_.push_back(std::move(Work));
@@ -164,7 +165,7 @@
     if (Backlog_.empty() || FlushDue_)
       return;
     FlushDue_ = true;
-    Owner_.Io_.after(RetryPost, [Self = shared_from_this()] {
+    Owner_.Io_.after(PostRetryDelay, [Self = shared_from_this()] {
       Self->FlushDue_ = false;
       Self->flush();
     });
@@ -201,7 +202,7 @@
   HttpRequest Request_;
   ReadWindow Window_;
   std::shared_ptr<HttpCall> Call_;
-  // Events the loop had no room for, in order.
+  // Events not yet posted because the loop's ring was full, in order.
   std::deque<DecisionLoop::Work> Backlog_;
   bool FlushDue_ = false;
   bool Paused_ = false;
@@ -221,8 +222,9 @@
   return Found == Runs_.end() ? nullptr : Found->second;
 }
 
-// start, stop and the like are few a running attempt, which the table bounds;
-// so they go straight to the context and need no ring that could refuse a stop.
+// start(), stop() and the like are called a few times per running attempt, and
+// AttemptTable limits the attempts. So they post directly to the I/O context
+// instead of a bounded ring, which could refuse a stop when full.
 void EndpointClient::start(EndpointCall Call) {
   AttemptId Attempt = Call.Attempt_;
   auto Made = std::make_shared<Run>(*this, std::move(Call));
--- a/hawthornroad/runtime/EndpointClient.h
+++ b/hawthornroad/runtime/EndpointClient.h
@@ -1,4 +1,4 @@
-// Runs attempts at the VM's model engine or plain service over HTTP.
+// Runs attempts on the VM's model engine or plain service over HTTP.
 //
 //   EndpointClient Endpoint(Setup, Io, Client, Loop, Metrics, {
 //       .OnHead_ = [&](HeadReceived E, TimePoint Now) {...},
@@ -7,18 +7,18 @@
 //   Endpoint.start({.Attempt_ = Id, .IsModel_ = true, .Request_ = R});
 //   Endpoint.pause(Id); Endpoint.resume(Id);
 //   Endpoint.release(Id, Offset);   // the body's bytes before Offset are freed
-//   Endpoint.stop(Id);      // closes, and tells the engine to cancel
+//   Endpoint.stop(Id);      // closes, and sends a cancel to the engine
 //
-// All methods and callbacks run inside the DecisionLoop; sockets live on Io.
-// Each run ends in exactly one OnEnded_, unless it is stopped. When the loop's
-// ring is full, the run's events wait here in order and reading pauses, so a
-// busy loop costs time and no byte.
-// Each run stops reading by itself at Setup::Window_ bytes not yet released:
-// pause() is said on the loop and can reach the reading thread late, when a
-// fast endpoint has filled the memory already.
-// An engine goes on generating for a connection that is gone until its next
-// write, or for good when the path is silent; so a run broken off at this side
-// is followed by POST /admin/cancel.
+// All methods and callbacks run on the DecisionLoop's thread; sockets are used
+// on Io's thread. Each run ends in exactly one OnEnded_, unless it is stopped.
+// When the loop's ring is full, the run's events are queued here in order and
+// reading pauses, so a busy loop delays data but loses none.
+// Each run pauses reading by itself at Setup::Window_ unreleased bytes: pause()
+// is called on the loop and can reach the reading thread too late, when a fast
+// endpoint has already filled the memory.
+// After its connection is closed, an engine keeps generating until its next
+// write, or until it is done when the path drops packets silently. A run
+// aborted on this side is therefore followed by POST /admin/cancel.
 
 #ifndef HAWTHORNROAD_RUNTIME_ENDPOINTCLIENT_H
 #define HAWTHORNROAD_RUNTIME_ENDPOINTCLIENT_H
@@ -35,32 +35,31 @@
 
 namespace hawthornroad {
 
-// One call as it goes to the endpoint.
+// One call to the endpoint.
 struct EndpointCall {
   AttemptId Attempt_;
   bool IsModel_ = false;
   Priority Priority_ = Priority::Normal;
-  // Stream events the caller already has; the engine begins after them.
+  // Stream events that the caller already has; the engine starts after them.
   std::uint64_t ResumeEvents_ = 0;
   std::string IdempotencyKey_;
   HttpRequest Request_;
 };
 
-// The request as the endpoint gets it: without headers that belong to one
-// connection or that a caller could forge, and with those of
-// docs/STANDINS.md.
+// The request as sent to the endpoint: without hop-by-hop headers and headers
+// that a caller could forge, and with those of docs/STANDINS.md.
 HttpRequest endpointRequest(const EndpointCall &Call);
-// The answer's headers without those that belong to one connection.
+// The answer's headers without hop-by-hop headers.
 std::vector<AnswerHeader> answerHeaders(const HttpHeaders &Headers);
 
 class EndpointClient {
 public:
   struct Setup {
     std::string Address_;
-    // Longest silence within one run.
-    Duration Idle_ = Seconds(30);
-    // Most bytes of one answer read and not released; at most one read of
-    // HttpCall comes on top.
+    // Longest time without data within one run.
+    Duration IdleTimeout_ = Seconds(30);
+    // Maximum number of bytes of one answer that are read but not released; may
+    // be exceeded by at most one read of HttpCall.
     std::uint64_t Window_ = 4 * 1024 * 1024;
   };
   struct Callbacks {
--- a/hawthornroad/runtime/EngineAnswers.cpp
+++ b/hawthornroad/runtime/EngineAnswers.cpp
@@ -23,7 +23,7 @@
   return Found && Found->is_string() ? std::string(Found->as_string()) : "";
 }
 
-// Whole numbers below zero and numbers beyond 64 bits read as 0.
+// Negative integers and numbers that do not fit into 64 bits read as 0.
 std::uint64_t wholeAt(const json::object &O, std::string_view Key) {
   const json::value *Found = O.if_contains(Key);
   if (!Found)
--- a/hawthornroad/runtime/EngineAnswers.h
+++ b/hawthornroad/runtime/EngineAnswers.h
@@ -1,5 +1,5 @@
-// The engine's own interface, as JSON texts: what it says of its model and its
-// load, and what an order to it looks like (docs/STANDINS.md, "engine").
+// Parses and formats the JSON of the engine's interface: reports on its model
+// and its load, and load orders to it (docs/STANDINS.md, "engine").
 
 #ifndef HAWTHORNROAD_RUNTIME_ENGINEANSWERS_H
 #define HAWTHORNROAD_RUNTIME_ENGINEANSWERS_H
@@ -13,11 +13,11 @@
 
 namespace hawthornroad {
 
-// The answer to GET /admin/model; nullopt when the text is anything else.
+// Parses the answer to GET /admin/model; nullopt when Body is not one.
 std::optional<EngineReading> parseEngineReading(const std::string &Body);
-// The answer to GET /load; nullopt when the text is anything else.
+// Parses the answer to GET /load; nullopt when Body is not one.
 std::optional<EngineLoad> parseEngineLoad(const std::string &Body);
-// The body of POST /admin/load.
+// Formats the body of POST /admin/load.
 std::string formatOrder(const EngineOrder &Order);
 
 } // namespace hawthornroad
--- a/hawthornroad/runtime/EngineControl.cpp
+++ b/hawthornroad/runtime/EngineControl.cpp
@@ -21,10 +21,12 @@
 constexpr Duration PollPeriod = Milliseconds(300);
 constexpr Duration CallConnectTimeout = Milliseconds(500);
 constexpr Duration CallTimeout = Milliseconds(1500);
-// A call whose end was never reported, since the loop's ring was full.
-constexpr Duration LostCall = Seconds(5);
-// Reports and probes within which word reaches a zone (TurnOrder.h): a few
-// lost reports, and as many rounds of gossip as a zone of 250 VMs needs.
+// After this time a call counts as ended: its answer may have been dropped
+// because the loop's ring was full.
+constexpr Duration LostCallTimeout = Seconds(5);
+// Report and probe periods within which a change reaches the whole zone
+// (TurnOrder.h): allows for a few lost reports, and for the gossip rounds that
+// a zone of 250 VMs needs.
 constexpr int SettleReports = 4;
 constexpr int SettleProbes = 8;
 
@@ -42,11 +44,11 @@
           .Timeout_ = CallTimeout};
 }
 
-bool isGood(const HttpResult &R) {
+bool isOk(const HttpResult &R) {
   return R.Response_ && R.Response_->Status_ == 200;
 }
 
-// Nothing listens: the engine or service is not running.
+// The connection failed: the engine or service is not running.
 bool isUnreachable(const HttpResult &R) {
   return R.Error_ && R.Error_->step() == Step::Connect;
 }
@@ -58,32 +60,32 @@
                                          : OrderReply::Refused;
 }
 
-// One kind of call with at most one outstanding. An answer to a call that was
-// given up on is told by its number and dropped.
+// Allows at most one outstanding call of a kind. The answer to an abandoned
+// call is recognized by its number and dropped.
 class CallSlot {
 public:
   bool mayStart(TimePoint Now) const {
-    return !OpenSince_ || Now - *OpenSince_ >= LostCall;
+    return !StartedAt_ || Now - *StartedAt_ >= LostCallTimeout;
   }
   std::uint64_t start(TimePoint Now) {
-    OpenSince_ = Now;
+    StartedAt_ = Now;
     return ++Number_;
   }
   // True when Number is the outstanding call.
   bool end(std::uint64_t Number) {
-    if (!OpenSince_ || Number != Number_)
+    if (!StartedAt_ || Number != Number_)
       return false;
-    OpenSince_.reset();
+    StartedAt_.reset();
     return true;
   }
-  void abandon() { OpenSince_.reset(); }
+  void abandon() { StartedAt_.reset(); }
 
 private:
-  std::optional<TimePoint> OpenSince_;
+  std::optional<TimePoint> StartedAt_;
   std::uint64_t Number_ = 0;
 };
 
-// What the fleet is told; a change of it is worth a report.
+// The state that is published to the fleet; a change of it triggers a report.
 struct Report {
   EndpointPhase Phase_ = EndpointPhase::Starting;
   VersionDigest Version_;
@@ -110,7 +112,7 @@
               Chart::load(Setup_.Settings_.Common_.Charts_, "rollout",
                           RolloutTurn::chartNames()),
               Random_),
-        Plain_(RolloutTurn::Limits().Silence_) {}
+        PlainHealth_(RolloutTurn::Limits().Silence_) {}
 
   bool isPlain() const { return Kind_ == ServiceKind::Plain; }
   EndpointPhase phase() const;
@@ -126,13 +128,13 @@
 
   void tick(TimePoint Now);
   void poll(TimePoint Now);
-  void call(HttpRequest R, Answer Then);
+  void call(HttpRequest R, Answer OnAnswer);
   void readHealth(TimePoint Now);
   void readModel(TimePoint Now);
   void readLoad(TimePoint Now);
   void send(const EngineOrder &Order, TimePoint Now);
-  void onModel(const HttpResult &R, TimePoint Now);
-  // Tells what has changed since the last telling.
+  void onModelAnswer(const HttpResult &R, TimePoint Now);
+  // Reports the changes since the last call through OnChange_.
   void publish(TimePoint Now);
   void logChange(const Report &Before, const Report &After);
 
@@ -143,7 +145,7 @@
   Callbacks Callbacks_;
   Random Random_;
   RolloutTurn Turn_;
-  PlainHealth Plain_;
+  PlainHealth PlainHealth_;
   std::optional<ServiceKind> Kind_;
   EngineLoad Load_;
   CallSlot HealthCall_;
@@ -160,7 +162,8 @@
     return EndpointPhase::Starting;
   if (!isPlain())
     return Turn_.phase();
-  return Plain_.isReady(Now_) ? EndpointPhase::Ready : EndpointPhase::Starting;
+  return PlainHealth_.isReady(Now_) ? EndpointPhase::Ready
+                                    : EndpointPhase::Starting;
 }
 
 std::string EngineControl::State::detail() const {
@@ -172,20 +175,20 @@
 }
 
 Report EngineControl::State::report() const {
-  Report Made;
-  Made.Phase_ = phase();
-  Made.Load_ = Load_;
-  if (Made.Load_.Capacity_ == 0)
-    Made.Load_.Capacity_ =
+  Report Result;
+  Result.Phase_ = phase();
+  Result.Load_ = Load_;
+  if (Result.Load_.Capacity_ == 0)
+    Result.Load_.Capacity_ =
         static_cast<std::uint32_t>(Setup_.Settings_.Capacity_);
   if (isPlain()) {
-    Made.Load_.Running_ = static_cast<std::uint32_t>(running());
-    return Made;
+    Result.Load_.Running_ = static_cast<std::uint32_t>(running());
+    return Result;
   }
-  Made.Version_ = Turn_.version();
-  Made.Rollout_ = Turn_.stateName();
-  Made.Failed_ = Turn_.failedVersion();
-  return Made;
+  Result.Version_ = Turn_.version();
+  Result.Rollout_ = Turn_.stateName();
+  Result.Failed_ = Turn_.failedVersion();
+  return Result;
 }
 
 void EngineControl::State::tick(TimePoint Now) {
@@ -194,7 +197,7 @@
     NextPoll_ = Now + Random_.jitter(PollPeriod, 0.2);
     poll(Now);
   }
-  // Also without a service, so that a pause is noticed.
+  // Called also without a service, so that a pause is detected.
   std::optional<EngineOrder> Order =
       Turn_.tick(Now, running(), configurationAskedAt());
   if (Order && !isPlain())
@@ -213,20 +216,21 @@
   readLoad(Now);
 }
 
-void EngineControl::State::call(HttpRequest R, Answer Then) {
+void EngineControl::State::call(HttpRequest R, Answer OnAnswer) {
   HttpClient::Callbacks Callbacks;
   Callbacks.OnDone_ = [Weak = weak_from_this(),
-                       Then = std::move(Then)](HttpResult Result) {
+                       OnAnswer = std::move(OnAnswer)](HttpResult Result) {
     std::shared_ptr<State> Self = Weak.lock();
     if (!Self)
       return;
-    // A full ring drops the answer; the slot's time limit makes up for it.
-    Self->Loop_.post([Weak, Then, Result = std::move(Result)](TimePoint Now) {
-      if (std::shared_ptr<State> Self = Weak.lock()) {
-        Then(Result, Now);
-        Self->publish(Now);
-      }
-    });
+    // When the ring is full the answer is dropped, and the call slot times out.
+    Self->Loop_.post(
+        [Weak, OnAnswer, Result = std::move(Result)](TimePoint Now) {
+          if (std::shared_ptr<State> Self = Weak.lock()) {
+            OnAnswer(Result, Now);
+            Self->publish(Now);
+          }
+        });
   };
   Client_.call(Setup_.Settings_.EndpointAddress_, std::move(R), callOptions(),
                std::move(Callbacks));
@@ -240,30 +244,31 @@
     if (!HealthCall_.end(Number))
       return;
     if (R.Response_)
-      Plain_.onAnswer(isGood(R), Now);
+      PlainHealth_.onAnswer(isOk(R), Now);
     else if (isUnreachable(R))
-      Plain_.onUnreachable();
+      PlainHealth_.onUnreachable();
   });
 }
 
 void EngineControl::State::readModel(TimePoint Now) {
-  // A reading that overlaps an order says nothing about it.
+  // A reading that overlaps an order does not show whether the order took
+  // effect.
   if (!ModelCall_.mayStart(Now) || !OrderCall_.mayStart(Now))
     return;
   std::uint64_t Number = ModelCall_.start(Now);
   call({.Target_ = "/admin/model"},
        [this, Number](HttpResult R, TimePoint Now) {
          if (ModelCall_.end(Number))
-           onModel(R, Now);
+           onModelAnswer(R, Now);
        });
 }
 
-void EngineControl::State::onModel(const HttpResult &R, TimePoint Now) {
+void EngineControl::State::onModelAnswer(const HttpResult &R, TimePoint Now) {
   if (isUnreachable(R)) {
     Turn_.onUnreachable(Now);
     return;
   }
-  if (!isGood(R))
+  if (!isOk(R))
     return;
   if (auto Reading = parseEngineReading(R.Response_->Body_))
     Turn_.onReading(*Reading, Now);
@@ -274,7 +279,7 @@
     return;
   std::uint64_t Number = LoadCall_.start(Now);
   call({.Target_ = "/load"}, [this, Number](HttpResult R, TimePoint Now) {
-    if (!LoadCall_.end(Number) || !isGood(R))
+    if (!LoadCall_.end(Number) || !isOk(R))
       return;
     if (auto Read = parseEngineLoad(R.Response_->Body_))
       Load_ = *Read;
@@ -282,7 +287,7 @@
 }
 
 void EngineControl::State::send(const EngineOrder &Order, TimePoint Now) {
-  // What was asked before the order may be answered after it.
+  // The answer to a reading started before the order may arrive after it.
   ModelCall_.abandon();
   std::uint64_t Number = OrderCall_.start(Now);
   Metrics_.count("hawthornroad_engine_orders_total");
@@ -345,7 +350,8 @@
   });
 }
 
-void EngineControl::setWish(const Service *S, Revision R, TimePoint Now) {
+void EngineControl::setDesiredService(const Service *S, Revision R,
+                                      TimePoint Now) {
   if (S)
     State_->Kind_ = S->Kind_;
   else
@@ -354,8 +360,8 @@
   State_->publish(Now);
 }
 
-void EngineControl::noteStaged(const VersionDigest &Version,
-                               const std::string &Path, TimePoint Now) {
+void EngineControl::setStagedPath(const VersionDigest &Version,
+                                  const std::string &Path, TimePoint Now) {
   State_->Turn_.stage(Version, Path);
 }
 
@@ -378,29 +384,29 @@
 
 json::object EngineControl::status(TimePoint Now) const {
   Report Current = State_->report();
-  json::object Made{{"phase", toString(Current.Phase_)},
-                    {"detail", detail()},
-                    {"capacity", Current.Load_.Capacity_},
-                    {"running", Current.Load_.Running_},
-                    {"waiting", Current.Load_.Waiting_}};
+  json::object Result{{"phase", toString(Current.Phase_)},
+                      {"detail", detail()},
+                      {"capacity", Current.Load_.Capacity_},
+                      {"running", Current.Load_.Running_},
+                      {"waiting", Current.Load_.Waiting_}};
   if (!State_->Kind_ || State_->isPlain())
-    return Made;
+    return Result;
   const RolloutTurn &Turn = State_->Turn_;
   json::object Failed;
   for (const auto &[V, Why] : Turn.failures().failed())
     Failed[V.str()] = Why;
-  Made["version"] = Current.Version_.str();
-  Made["wanted"] = Turn.choice().wantedVersion().str();
-  Made["rollout"] = Current.Rollout_;
-  Made["failed_version"] = Current.Failed_.str();
-  Made["load_failures"] = std::move(Failed);
-  Made["order"] = toString(Turn.orders().orderStatus());
-  Made["fencing"] = Turn.orders().number().value();
-  Made["out_of_service"] = Turn.turns().outOfService(Now);
-  Made["turns_ahead"] = Turn.turns().waitingAhead();
-  Made["pauses"] = Turn.pause().pauses();
-  Made["may_order"] = Turn.pause().mayOrder(Now);
-  return Made;
+  Result["version"] = Current.Version_.str();
+  Result["wanted"] = Turn.choice().wantedVersion().str();
+  Result["rollout"] = Current.Rollout_;
+  Result["failed_version"] = Current.Failed_.str();
+  Result["load_failures"] = std::move(Failed);
+  Result["order"] = toString(Turn.orders().orderStatus());
+  Result["fencing"] = Turn.orders().number().value();
+  Result["out_of_service"] = Turn.turns().outOfService(Now);
+  Result["turns_ahead"] = Turn.turns().waitingAhead();
+  Result["pauses"] = Turn.pause().pauses();
+  Result["may_order"] = Turn.pause().mayOrder(Now);
+  return Result;
 }
 
 } // namespace hawthornroad
--- a/hawthornroad/runtime/EngineControl.h
+++ b/hawthornroad/runtime/EngineControl.h
@@ -1,15 +1,16 @@
-// Gives the VM's engine its orders, and reads back what it really serves.
+// Sends load orders to the VM's engine and reads back what it actually serves.
 //
-//   EngineControl Engine(Setup, Loop, Client, Chart..., {
+//   EngineControl Engine(Setup, Loop, Client, Metrics, {
 //       .OnChange_ = [&](TimePoint Now) { publishEndpoint(Now); },
 //       .RunningAttempts_ = [&] { return Attempts.running(); }});
-//   Engine.setWish(Service, R, Now);     // each declaration
-//   Engine.noteStaged(Path, Version, Now);
+//   Engine.setDesiredService(Service, R, Now);     // each declaration
+//   Engine.setStagedPath(Version, Path, Now);
 //   Engine.setFleet(Statuses, Now);      // same service, own zone: for turns
 //
-// Composes rollout/ (turns: who may leave service when; orders: absolute wish,
-// fencing number, read-back) with the HTTP calls. Runs inside the DecisionLoop.
-// For a plain service it gives no orders and reports ready when the service
+// Combines rollout/ with the HTTP calls. Turns decide which VM may leave
+// service and when; orders carry the absolute target and a fencing number, and
+// are verified by reading back. All methods run on the DecisionLoop's thread.
+// For a plain service it sends no orders and reports ready when the service
 // answers GET /healthz.
 
 #ifndef HAWTHORNROAD_RUNTIME_ENGINECONTROL_H
@@ -32,7 +33,7 @@
 
 namespace hawthornroad {
 
-// What the engine last said of itself.
+// The load that the engine last reported.
 struct EngineLoad {
   std::uint32_t Capacity_ = 0;
   std::uint32_t Running_ = 0;
@@ -50,11 +51,12 @@
   struct Callbacks {
     // phase(), version(), load(), rollout() or failedVersion() changed.
     std::function<void(TimePoint)> OnChange_;
-    // Attempts now running at the engine; a turn waits for zero.
+    // Number of attempts running on the engine; a turn waits until it is zero.
     std::function<std::size_t()> RunningAttempts_;
-    // When the question was asked (platform or peer) that the configuration in
-    // hand answers. After a pause no order goes out until this is later than
-    // the pause; without it, until some seconds have passed undisturbed.
+    // When the request (to the platform or a peer) was sent whose answer
+    // confirmed the current configuration. After a pause of this process no
+    // order is sent until this time is later than the pause or, without such a
+    // confirmation, until some seconds have passed without another pause.
     std::function<std::optional<TimePoint>()> ConfigurationAskedAt_;
   };
 
@@ -65,17 +67,17 @@
   EngineControl &operator=(const EngineControl &) = delete;
 
   void start(TimePoint Now);
-  // The declared service of this VM at revision R; null when there is none.
-  void setWish(const Service *S, Revision R, TimePoint Now);
-  // A version lies whole and verified at Path: the wanted one, or an older one
-  // kept for a rollback. An empty Path: it no longer does.
-  void noteStaged(const VersionDigest &Version, const std::string &Path,
-                  TimePoint Now);
-  // All known endpoints of the same service, own VM excluded.
+  // Sets the declared service of this VM at revision R; null for none.
+  void setDesiredService(const Service *S, Revision R, TimePoint Now);
+  // Version is complete and verified at Path: the wanted one, or an older one
+  // kept for a rollback. An empty Path means that it is no longer staged.
+  void setStagedPath(const VersionDigest &Version, const std::string &Path,
+                     TimePoint Now);
+  // All known endpoints of the same service, except this VM's.
   void setFleet(const std::vector<EndpointStatus> &Fleet, TimePoint Now);
 
-  // Ready only when the engine reports exactly one whole version, or the plain
-  // service answers. Draining during a turn.
+  // Ready only when the engine reports exactly one completely loaded version,
+  // or the plain service answers. Draining during a turn.
   EndpointPhase phase() const;
   VersionDigest version() const;
   EngineLoad load() const;
--- a/hawthornroad/runtime/Log.cpp
+++ b/hawthornroad/runtime/Log.cpp
@@ -28,7 +28,7 @@
   return Name;
 }
 
-// UTC with milliseconds, RFC 3339.
+// The current time in RFC 3339 format, in UTC with milliseconds.
 std::string timestamp() {
   auto Now = std::chrono::system_clock::now();
   std::time_t Whole = std::chrono::system_clock::to_time_t(Now);
--- a/hawthornroad/runtime/Log.h
+++ b/hawthornroad/runtime/Log.h
@@ -1,4 +1,4 @@
-// Structured logs: one JSON object a line on standard error, through
+// Structured logs: one JSON object per line on standard error, through
 // Boost.Log.
 //
 //   logInit({.Process_ = "zg-entry-1", .MinLevel_ = LogLevel::Info});
@@ -39,7 +39,7 @@
 // Call once, before any thread starts.
 void logInit(LogSetup Setup);
 
-// Thread-safe. Below the minimum level it costs one comparison.
+// Thread-safe. A message below the minimum level costs one comparison.
 void log(LogLevel Level, Step Where, std::string_view Message,
          std::initializer_list<LogField> Fields = {});
 bool logs(LogLevel Level);
--- a/hawthornroad/runtime/Metrics.cpp
+++ b/hawthornroad/runtime/Metrics.cpp
@@ -9,7 +9,7 @@
 namespace bh = boost::histogram;
 
 namespace {
-constexpr unsigned Buckets = 42; // six a decade
+constexpr unsigned Buckets = 42; // six per decade
 constexpr double Lowest = 1e-4;
 constexpr double Highest = 1e3;
 
@@ -63,15 +63,16 @@
 
 void renderHistogram(std::ostream &Out, const std::string &Name,
                      const std::string &Text, const Series &S) {
-  std::string Lead = Text.empty() ? "" : Text + ",";
+  std::string LabelPrefix = Text.empty() ? "" : Text + ",";
   const auto &Axis = S.Counts_.axis(0);
   double Sum = S.Counts_.at(-1);
   for (int I = 0; I < Axis.size(); ++I) {
     Sum += S.Counts_.at(I);
-    Out << Name << "_bucket{" << Lead << "le=\"" << Axis.bin(I).upper()
+    Out << Name << "_bucket{" << LabelPrefix << "le=\"" << Axis.bin(I).upper()
         << "\"} " << Sum << "\n";
   }
-  Out << Name << "_bucket{" << Lead << "le=\"+Inf\"} " << S.Total_ << "\n";
+  Out << Name << "_bucket{" << LabelPrefix << "le=\"+Inf\"} " << S.Total_
+      << "\n";
   Out << Name << "_sum" << braces(Text) << " " << S.Sum_ << "\n";
   Out << Name << "_count" << braces(Text) << " " << S.Total_ << "\n";
 }
--- a/hawthornroad/runtime/Metrics.h
+++ b/hawthornroad/runtime/Metrics.h
@@ -1,4 +1,4 @@
-// Counters, gauges and histograms of one process, as Prometheus text.
+// Counters, gauges and histograms of one process, rendered as Prometheus text.
 //
 //   Metrics M;
 //   M.count("hawthornroad_requests_total", {{"outcome", "answered"}});
@@ -8,9 +8,10 @@
 //   std::string Page = M.render();
 //
 // Histograms are Boost.Histogram with logarithmic buckets from 100 us to
-// 1000 s, per set of labels. Limit: MaxSeries label sets for each name; later
-// ones are counted under label values "other", so that a flood of made-up
-// customers cannot grow the memory. Thread-safe: one lock a call, about 200 ns.
+// 1000 s, one per label set. Limit: MaxSeries label sets per name; further
+// ones are counted under the label value "other", so that a flood of invented
+// customer names cannot exhaust the memory. Thread-safe: one lock per call,
+// about 200 ns.
 
 #ifndef HAWTHORNROAD_RUNTIME_METRICS_H
 #define HAWTHORNROAD_RUNTIME_METRICS_H
@@ -35,9 +36,9 @@
 
   void count(const std::string &Name, const Labels &L = {}, double By = 1);
   void set(const std::string &Name, double Value, const Labels &L = {});
-  // Value in the unit of the name's ending, seconds as a rule.
+  // Value is in the unit of the name's suffix, usually seconds.
   void observe(const std::string &Name, double Value, const Labels &L = {});
-  // Current value of a counter or gauge, 0 when absent.
+  // Current value of a counter or gauge; 0 when absent.
   double value(const std::string &Name, const Labels &L = {}) const;
 
   std::string render() const;
--- a/hawthornroad/runtime/PlatformTable.cpp
+++ b/hawthornroad/runtime/PlatformTable.cpp
@@ -19,7 +19,7 @@
          "&limit=" + std::to_string(Read.Limit_);
 }
 
-// The values of a page; nullopt when Body is not one.
+// The values of a table page; nullopt when Body is not a page.
 std::optional<std::vector<std::string>> parsePage(const std::string &Body) {
   json::error_code Code;
   json::value Page = json::parse(Body, Code);
@@ -113,7 +113,8 @@
   HttpClient::Options Options;
   Options.Timeout_ = Settings_.Timeout_;
   Options.MaxBody_ = MaxAnswer;
-  // A full loop drops the answer; the caller's own deadline covers that.
+  // When the loop's ring is full the answer is dropped; the caller's deadline
+  // handles that.
   auto OnDone = [&Loop = Loop_, Done = std::move(Done)](HttpResult Result) {
     Loop.post([Done, Result = std::move(Result)](TimePoint Now) {
       Done(Result, Now);
--- a/hawthornroad/runtime/PlatformTable.h
+++ b/hawthornroad/runtime/PlatformTable.h
@@ -1,14 +1,14 @@
-// Reads of the platform's table and of its membership list, for the decision
-// modules: each call ends in one typed answer inside the DecisionLoop.
+// Reads the platform's table and its membership list for the decision modules:
+// each call ends in one typed answer on the DecisionLoop's thread.
 //
 //   PlatformTable Table(Loop, Client, Settings);
 //   Table.read(*Out.Read_, [=](ConfigAnswer A, TimePoint Now) {...});
 //   Table.members([=](std::optional<std::vector<ListedVm>> L, TimePoint)
 //   {...});
 //
-// A platform that is down, silent past its timeout or answers with something
-// else than it should gives an unanswered read; the caller decides when to try
-// again. Answers that come after the owner has gone are dropped.
+// When the platform is down, does not answer within its timeout or answers with
+// invalid content, the read counts as unanswered; the caller decides when to
+// retry. Answers that arrive after the owner was destroyed are dropped.
 
 #ifndef HAWTHORNROAD_RUNTIME_PLATFORMTABLE_H
 #define HAWTHORNROAD_RUNTIME_PLATFORMTABLE_H
@@ -24,7 +24,8 @@
 
 namespace hawthornroad {
 
-// A line of the platform's membership list. It lags: a hint, never the truth.
+// A line of the platform's membership list. The list can be out of date: it is
+// a hint only.
 struct ListedVm {
   Vm Vm_;
   PeerAddress Peer_;
--- a/hawthornroad/runtime/TableClient.cpp
+++ b/hawthornroad/runtime/TableClient.cpp
@@ -12,8 +12,8 @@
 namespace json = boost::json;
 
 namespace {
-constexpr int ReadTries = 3;
-constexpr Duration ReadDelay = Milliseconds(200);
+constexpr int MaxReadAttempts = 3;
+constexpr Duration ReadRetryDelay = Milliseconds(200);
 constexpr unsigned Ok = 200;
 constexpr unsigned NotFound = 404;
 constexpr unsigned PreconditionFailed = 412;
@@ -25,14 +25,15 @@
   const json::value *Items =
       Top == nullptr ? nullptr : Top->if_contains("items");
   if (Items == nullptr || !Items->is_array())
-    throw Error(Step::Table, "", "its list has no \"items\"");
+    throw Error(Step::Table, "", "table listing has no \"items\"");
   std::vector<std::string> Out;
   for (const json::value &Each : Items->get_array()) {
     const json::object *Item = Each.if_object();
     const json::value *Value =
         Item == nullptr ? nullptr : Item->if_contains("value");
     if (Value == nullptr || !Value->is_string())
-      throw Error(Step::Table, "", "an item of its list has no \"value\"");
+      throw Error(Step::Table, "",
+                  "an item of the table listing has no \"value\"");
     Out.emplace_back(Value->get_string());
   }
   return Out;
@@ -97,8 +98,8 @@
   return A;
 }
 
-// Only 200 and 412 are the table's own word on a write. Any other status may
-// come from something in front of it, after the write took effect.
+// Only 200 and 412 are certain to come from the table itself. Any other status
+// may come from a proxy in front of it, after the write took effect.
 TableAnswer TableClient::write(const TableCall &Call) {
   HttpRequest R{.Method_ = "PUT", .Target_ = targetOf(Call)};
   if (Call.Kind_ == TableCall::Kind::Create)
@@ -120,10 +121,10 @@
   return A;
 }
 
-TableAnswer TableClient::mustRead(const TableCall &Call) {
-  for (int Try = 0; Try < ReadTries; ++Try) {
-    if (Try > 0)
-      std::this_thread::sleep_for(ReadDelay);
+TableAnswer TableClient::readWithRetries(const TableCall &Call) {
+  for (int Attempt = 0; Attempt < MaxReadAttempts; ++Attempt) {
+    if (Attempt > 0)
+      std::this_thread::sleep_for(ReadRetryDelay);
     TableAnswer A = read(Call);
     if (A.Kind_ == TableAnswer::Kind::Done ||
         A.Kind_ == TableAnswer::Kind::Absent)
@@ -134,7 +135,7 @@
 
 RevisionFold TableClient::snapshotUpTo(Revision N) {
   RevisionFold Fold;
-  TableAnswer A = mustRead({.Key_ = SnapshotKey});
+  TableAnswer A = readWithRetries({.Key_ = SnapshotKey});
   if (A.Kind_ == TableAnswer::Kind::Absent)
     return Fold;
   try {
@@ -142,7 +143,7 @@
     if (S.Revision_ <= N)
       Fold.start(std::move(S));
   } catch (const Error &) {
-    // A hint only: without it more revisions are read.
+    // The snapshot is optional: without it more revisions are read.
   }
   return Fold;
 }
@@ -163,8 +164,8 @@
   std::vector<RevisionRecord> All;
   while (true) {
     Revision Last = All.empty() ? After : All.back().Revision_;
-    TableAnswer Page =
-        mustRead({.Kind_ = TableCall::Kind::List, .Key_ = revisionKey(Last)});
+    TableAnswer Page = readWithRetries(
+        {.Kind_ = TableCall::Kind::List, .Key_ = revisionKey(Last)});
     if (Page.Values_.empty())
       return All;
     for (const std::string &Value : Page.Values_)
--- a/hawthornroad/transfer/WeightTransfer.h
+++ b/hawthornroad/transfer/WeightTransfer.h
@@ -3,7 +3,7 @@
 // memory-backed folder.
 //
 //   WeightTransfer Weights(Setup, Loop, WeightsNet, WeightsIo, Client, Metrics,
-//       {.OnChange_ = [&](TimePoint Now) { Rollout.noteStaged(...); }});
+//       {.OnChange_ = [&](TimePoint Now) { Rollout.setStagedPath(...); }});
 //   Weights.want({.Service_ = S, .Model_ = M, .Rollout_ = R}, Now);
 //   Weights.setPeers(Peers, Now);        // whenever the fleet view changes
 //   if (auto Path = Weights.pathOf(Version)) ...  // complete and verified
--- a/tests/integration/AgentEngineTest.cpp
+++ b/tests/integration/AgentEngineTest.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// One agent whose engine serves a version, a proxy between the two, and a raw
-// entry.
+// One agent whose engine serves a version, a proxy between agent and engine,
+// and an entry that sends raw frames.
 struct EngineFixture {
   EngineFixture() {
-    Path_.setTarget(engine().address());
+    EngineProxy_.setTarget(engine().address());
     Version_ = Fleet_->publishWeights("v1", 1);
     REQUIRE(Fleet_->apply(Fleet_->declaration(Version_)).ExitCode_ == 0);
     Fleet_->awaitServing(Version_);
@@ -31,11 +31,11 @@
   }
 
   TemporaryFolder Folder_;
-  Proxy Path_{Folder_, ""};
+  Proxy EngineProxy_{Folder_, ""};
   std::unique_ptr<Fleet> Fleet_ =
       FleetBuilder()
           .modelVms(1)
-          .agentSettings({{"endpoint_address", Path_.address()}})
+          .agentSettings({{"endpoint_address", EngineProxy_.address()}})
           .build();
   WeightVersion Version_;
   RawEntry Entry_;
@@ -43,9 +43,10 @@
 
 } // namespace
 
-// A caller leaves and its entry cancels. The agent closes its connection to the
-// engine, but that path has gone silent and the engine never hears of it: it
-// would generate a million tokens for nobody while others wait.
+// Guards against an engine that keeps generating for a cancelled attempt. The
+// entry cancels and the agent closes its connection to the engine, but the
+// network path drops packets silently and the engine never sees the close: it
+// would generate a million tokens that nobody reads while others wait.
 TEST_CASE_METHOD(EngineFixture,
                  "attempt, cancelled over a silent path, stops the engine's "
                  "work",
@@ -53,7 +54,7 @@
   AttemptId Attempt{1, 1};
   Entry_.send(to(), completion(Attempt, 1000000));
   Entry_.await(Attempt, [](const auto &A) { return !A.Body_.empty(); });
-  Path_.setFaults(R"({"silent_existing":true})");
+  EngineProxy_.setFaults(R"({"silent_existing":true})");
   Entry_.send(to(), RawEntry::about<wire::AttemptCancelT>(Attempt));
   eventually(
       [&] {
@@ -63,22 +64,23 @@
   REQUIRE(numberAt(engine().counters(), "cancelled") == 1);
 }
 
-// Somebody loads other weights into the engine behind the agent's back. Until
-// the agent reads that back it still offers the old version, and a panel pinned
-// to it would show the words of the other.
+// Guards against answers from the wrong version. Weights are loaded into the
+// engine without the agent's knowledge; until the agent reads this back it
+// still offers the old version, and a caller pinned to it would get output of
+// the other version.
 TEST_CASE_METHOD(EngineFixture,
-                 "engine, reloaded behind the agent's back, has no answer of "
-                 "the other version passed on",
+                 "engine, reloaded without the agent, has no answer of the "
+                 "other version passed on",
                  "[agent]") {
-  WeightVersion Other = Fleet_->publishWeights("v2", 2);
+  WeightVersion OtherVersion = Fleet_->publishWeights("v2", 2);
   std::string File =
       Fleet_->folder().path() / "origin/copywriter/v2/weights.bin";
   postJson(engine().address(), "/admin/load",
-           {{"version", Other.Digest_.str()},
+           {{"version", OtherVersion.Digest_.str()},
             {"path", File},
             {"fencing", 1u << 30}});
-  int NotGiven = 0;
-  int Others = 0;
+  int Failed = 0;
+  int WrongVersion = 0;
   std::uint64_t Number = 1;
   eventually(
       [&] {
@@ -86,11 +88,11 @@
         Entry_.send(to(), completion(Attempt, 3));
         auto A = Entry_.awaitOver(Attempt);
         if (!A.isWhole())
-          ++NotGiven;
+          ++Failed;
         if (A.Head_ && A.Head_->version != Version_.Digest_.str())
-          ++Others;
-        return Others > 0 || (NotGiven > 0 && A.isWhole());
+          ++WrongVersion;
+        return WrongVersion > 0 || (Failed > 0 && A.isWhole());
       },
-      "the agent noticed and mended the engine");
-  REQUIRE(Others == 0);
+      "the agent detected the reload and restored the version");
+  REQUIRE(WrongVersion == 0);
 }
--- a/tests/unit/ControlPlaneTest.cpp
+++ b/tests/unit/ControlPlaneTest.cpp
@@ -28,10 +28,10 @@
   return false;
 }
 
-// The reads of the platform's table, answered from a map.
-class SmallTable {
+// Answers reads of the platform's table from a map.
+class FakeTable {
 public:
-  explicit SmallTable(IoThread &Io)
+  explicit FakeTable(IoThread &Io)
       : Server_(Io, {}, [this](HttpRequest R, std::shared_ptr<HttpExchange> X) {
           X->respond(answer(R.Target_));
         }) {
@@ -77,7 +77,7 @@
   HttpServer Server_;
 };
 
-// The control plane of one process with threads and sockets of its own.
+// The control plane of one process with its own threads and sockets.
 class Process {
 public:
   Process(const std::string &Name, const std::string &Role,
@@ -104,22 +104,24 @@
     Setup.Incarnation_ = 1;
     Setup.Role_ = Role;
     Setup.Address_ = Address_;
-    ControlPlane::Callbacks Calls;
-    Calls.OnDeclaration_ = [this](auto, Revision R) { Applied_.push_back(R); };
-    Calls.OnEndpoint_ = [this](const EndpointStatus &S, TimePoint) {
+    ControlPlane::Callbacks Callbacks;
+    Callbacks.OnDeclaration_ = [this](auto, Revision R) {
+      Applied_.push_back(R);
+    };
+    Callbacks.OnEndpoint_ = [this](const EndpointStatus &S, TimePoint) {
       Endpoints_[S.Vm_] = S;
     };
-    Calls.OnEndpointGone_ = [this](const Vm &V, Incarnation, TimePoint) {
+    Callbacks.OnEndpointGone_ = [this](const Vm &V, Incarnation, TimePoint) {
       Endpoints_.erase(V);
     };
     Plane_ = std::make_unique<ControlPlane>(Setup, Loop_, Net_, Client_,
-                                            Metrics_, Calls);
+                                            Metrics_, Callbacks);
     Loop_.post([this](TimePoint Now) { Plane_->start(Now); });
   }
 
   ~Process() { Io_.stop(); }
 
-  // Runs Question on the process's decision thread.
+  // Runs Question on the process's DecisionLoop thread.
   template <class T> T ask(std::function<T()> Question) {
     std::promise<T> Promise;
     auto Future = Promise.get_future();
@@ -186,7 +188,7 @@
           "revision and endpoints",
           "[controlplane]") {
   IoThread Io("table", 1024);
-  SmallTable Table(Io);
+  FakeTable Table(Io);
   Table.accept(textWith("one"));
   Process Entry("entry", "entry", Table.Address_, {});
   Process Other("other", "entry", "", {Entry.Address_});
--- a/tests/unit/EndpointClientTest.cpp
+++ b/tests/unit/EndpointClientTest.cpp
@@ -7,15 +7,15 @@
 using namespace hawthornroad;
 
 namespace {
-constexpr auto Patience = Seconds(20);
+constexpr auto WaitTimeout = Seconds(20);
 constexpr std::size_t Window = 64 * 1024;
-// One read of HttpCall may begin just below the window's end.
-constexpr std::size_t OneRead = 64 * 1024;
+// One read of HttpCall may start just below the end of the window.
+constexpr std::size_t MaxReadSize = 64 * 1024;
 constexpr std::size_t Large = 8 * 1024 * 1024;
 const AttemptId Attempt{1, 1};
 
-// A service with a large answer and a small one, and a client whose decisions
-// can be held up.
+// A service with a large and a small answer, and a client whose DecisionLoop
+// can be blocked.
 struct EndpointFixture {
   ActorSystem System_;
   DecisionLoop Loop_{System_, "loop", Milliseconds(5), 16384};
@@ -26,8 +26,8 @@
   HttpServer Server_{ServerIo_, {}, answer};
   std::string Address_ =
       "127.0.0.1:" + std::to_string(Server_.listen("127.0.0.1", 0));
-  std::size_t Got_ = 0;
-  std::promise<void> First_;
+  std::size_t Received_ = 0;
+  std::promise<void> HeadArrived_;
   std::promise<bool> Ended_;
   bool MayRelease_ = false;
   EndpointClient Endpoint_{
@@ -37,12 +37,12 @@
       Loop_,
       Metrics_,
       {.OnHead_ = [this](const HeadReceived &,
-                         TimePoint) { First_.set_value(); },
+                         TimePoint) { HeadArrived_.set_value(); },
        .OnData_ =
            [this](const DataReceived &E, TimePoint) {
-             Got_ += E.Bytes_.size();
+             Received_ += E.Bytes_.size();
              if (MayRelease_)
-               Endpoint_.release(Attempt, Got_);
+               Endpoint_.release(Attempt, Received_);
            },
        .OnEnded_ = [this](const RunEnded &E,
                           TimePoint) { Ended_.set_value(!E.Error_); }}};
@@ -56,7 +56,7 @@
     X->respond(
         jsonResponse(200, std::string(R.Target_ == "/large" ? Large : 1, 'x')));
   }
-  // Runs W inside the loop and waits for it.
+  // Runs W on the loop's thread and waits for it.
   void inLoop(std::function<void()> W) {
     std::promise<void> Done;
     auto Future = Done.get_future();
@@ -64,7 +64,7 @@
       W();
       Done.set_value();
     }));
-    REQUIRE(Future.wait_for(Patience) == std::future_status::ready);
+    REQUIRE(Future.wait_for(WaitTimeout) == std::future_status::ready);
   }
   void callSmall() {
     std::promise<bool> Done;
@@ -73,7 +73,7 @@
                              {.OnDone_ = [&](const HttpResult &R) {
                                Done.set_value(R.Response_.has_value());
                              }});
-    REQUIRE(Future.wait_for(Patience) == std::future_status::ready);
+    REQUIRE(Future.wait_for(WaitTimeout) == std::future_status::ready);
     REQUIRE(Future.get());
   }
 };
@@ -98,36 +98,37 @@
   REQUIRE_FALSE(W.isOpen());
 }
 
-// An endpoint answers fast on a busy VM: the agent's decisions come late, and
-// with them the word to stop reading. Meanwhile the reader took the whole of
-// every large answer into the process's 256 MB.
+// Guards against unbounded buffering of answers. On a busy VM the DecisionLoop
+// runs late and so does its call to pause reading; meanwhile the reader would
+// take every large answer of a fast endpoint completely into the memory of the
+// process, which is limited to 256 MB.
 TEST_CASE_METHOD(
     EndpointFixture,
-    "endpoint's answer, with the decisions held up, is read to the "
-    "window and goes on whole once released",
+    "endpoint's answer, with the decision loop blocked, is read up to the "
+    "window and arrives complete once released",
     "[endpoint]") {
-  std::promise<void> GoOn;
-  auto Head = First_.get_future();
+  std::promise<void> Resume;
+  auto Head = HeadArrived_.get_future();
   inLoop([&] {
     Endpoint_.start({.Attempt_ = Attempt, .Request_ = {.Target_ = "/large"}});
   });
-  REQUIRE(Head.wait_for(Patience) == std::future_status::ready);
-  REQUIRE(Loop_.post([&](TimePoint) { GoOn.get_future().wait(); }));
-  // Calls through the same two threads: time for the whole answer, were the
-  // reader not held.
+  REQUIRE(Head.wait_for(WaitTimeout) == std::future_status::ready);
+  REQUIRE(Loop_.post([&](TimePoint) { Resume.get_future().wait(); }));
+  // Calls through the same two threads take long enough for the whole answer to
+  // be read if the reader were not paused.
   for (int I = 0; I < 300; ++I)
     callSmall();
-  GoOn.set_value();
+  Resume.set_value();
   std::size_t Held = 0;
   inLoop([&] {
-    Held = Got_;
+    Held = Received_;
     MayRelease_ = true;
-    Endpoint_.release(Attempt, Got_);
+    Endpoint_.release(Attempt, Received_);
   });
   auto Ended = Ended_.get_future();
-  REQUIRE(Ended.wait_for(Patience) == std::future_status::ready);
+  REQUIRE(Ended.wait_for(WaitTimeout) == std::future_status::ready);
   REQUIRE(Ended.get());
   REQUIRE(Held > 0);
-  REQUIRE(Held <= Window + OneRead);
-  REQUIRE(Got_ == Large);
+  REQUIRE(Held <= Window + MaxReadSize);
+  REQUIRE(Received_ == Large);
 }
--- a/tests/unit/EngineControlTest.cpp
+++ b/tests/unit/EngineControlTest.cpp
@@ -12,10 +12,11 @@
 using namespace hawthornroad;
 
 namespace {
-constexpr auto Patience = Seconds(20);
+constexpr auto WaitTimeout = Seconds(20);
 const VersionDigest V1("sha256:one"), V2("sha256:two");
 
-// An engine, or a plain service, behind a real listener: loads at once.
+// An engine or a plain service behind a real listener. As an engine it loads a
+// version immediately.
 class LocalEndpoint {
 public:
   explicit LocalEndpoint(IoThread &Io)
@@ -120,7 +121,7 @@
     Done.get_future().wait();
   }
   bool holds(std::function<bool()> Condition) {
-    auto End = std::chrono::steady_clock::now() + Patience;
+    auto End = std::chrono::steady_clock::now() + WaitTimeout;
     while (std::chrono::steady_clock::now() < End) {
       bool Result = false;
       inLoop([&](TimePoint) { Result = Condition(); });
@@ -137,7 +138,8 @@
     Service_.Kind_ = Kind;
     if (Kind == ServiceKind::Model)
       Service_.Model_ = ModelDeclaration{"/m.json", V};
-    inLoop([&](TimePoint Now) { Engine_->setWish(&Service_, R, Now); });
+    inLoop(
+        [&](TimePoint Now) { Engine_->setDesiredService(&Service_, R, Now); });
   }
 };
 } // namespace
@@ -167,7 +169,7 @@
                  "engine is loaded when empty, and again when it was restarted",
                  "[enginecontrol]") {
   declare(ServiceKind::Model, V1, 1);
-  inLoop([&](TimePoint Now) { Engine_->noteStaged(V1, "/w/one", Now); });
+  inLoop([&](TimePoint Now) { Engine_->setStagedPath(V1, "/w/one", Now); });
   REQUIRE(reaches(EndpointPhase::Ready));
   inLoop([&](TimePoint) {
     REQUIRE(Engine_->version() == V1);
@@ -188,7 +190,7 @@
   REQUIRE(reaches(EndpointPhase::Ready));
   inLoop([&](TimePoint Now) {
     REQUIRE(Engine_->version() == V1);
-    Engine_->noteStaged(V2, "/w/two", Now);
+    Engine_->setStagedPath(V2, "/w/two", Now);
   });
   REQUIRE(holds([&] { return Engine_->rollout() == "draining"; }));
 }
