--- a/hawthornroad/agent/AgentEngine.cpp
+++ b/hawthornroad/agent/AgentEngine.cpp
@@ -314,7 +314,7 @@
         unsigned Status = 0;
         if (const auto *Answer = std::get_if<HttpAnswer>(&R)) {
           Status = Answer->Status_;
-          End = platform::decodeOrder(Status);
+          End = platform::decodeOrderReply(Status);
         }
         Log_.write(LogLine("order")
                        .count("version", P->Version_.Version_)
--- a/hawthornroad/agent/AgentVersions.cpp
+++ b/hawthornroad/agent/AgentVersions.cpp
@@ -29,9 +29,9 @@
 // lost packet (one second).
 HttpCalls::Options originOptions() {
   HttpCalls::Options O;
-  O.SpareFor_ = Milliseconds(400);
-  O.WholeLimit_ = OriginReadLimit;
-  O.QuickDial_ = Milliseconds(200);
+  O.MaxIdleTime_ = Milliseconds(400);
+  O.TotalLimit_ = OriginReadLimit;
+  O.ReconnectTimeout_ = Milliseconds(200);
   return O;
 }
 } // namespace
@@ -61,7 +61,7 @@
 
 void StoreAgent::State::listVersions() {
   OperatorPending_ = true;
-  platform::KeyRange Keys = platform::versionKeys();
+  platform::KeyRange Keys = platform::versionKeyRange();
   Store_.list(std::string(platform::OperatorTable), Keys.From_, Keys.To_,
               [this](const StoreReply &R) { onOperatorReply(false, R); });
 }
@@ -106,7 +106,7 @@
           OriginZone_ = Origin->OriginZone_;
           Log_.write(LogLine("origin").text("address", Origin->OriginAddress_));
         }
-      } else if (auto V = platform::decodeVersion(Row.Key_, Row.Value_)) {
+      } else if (auto V = platform::decodeVersionRow(Row.Key_, Row.Value_)) {
         takeVersion({V->Model_, V->Version_}, Now);
       }
     } catch (const Error &E) {
--- a/hawthornroad/agent/StoreAgent.cpp
+++ b/hawthornroad/agent/StoreAgent.cpp
@@ -15,8 +15,8 @@
 
 HttpCalls::Options engineOptions() {
   HttpCalls::Options O;
-  O.AtOnce_ = EngineCallsAtOnce;
-  O.MaxSpare_ = EngineCallsAtOnce;
+  O.MaxConcurrent_ = EngineCallsAtOnce;
+  O.MaxIdle_ = EngineCallsAtOnce;
   return O;
 }
 
--- a/hawthornroad/agent/StoreAgentState.h
+++ b/hawthornroad/agent/StoreAgentState.h
@@ -73,7 +73,7 @@
 
   void onRequest(const std::shared_ptr<ServerSession> &S,
                  InboundRequest R) override;
-  void onCallerGone(ServerSession &) override {}
+  void onCallerDisconnected(ServerSession &) override {}
 
   RowReader::Transport readerTransport();
   void start();
--- a/hawthornroad/entry/DirectEntry.cpp
+++ b/hawthornroad/entry/DirectEntry.cpp
@@ -293,7 +293,7 @@
     std::promise<bool> Done;
     auto Answer = Done.get_future();
     S.Io_.submit([&] {
-      S.Callers_->leaveAll();
+      S.Callers_->drainAll();
       Done.set_value(S.Callers_->sessions() == 0);
     });
     if (Answer.get() || bootNow() >= Last)
--- a/hawthornroad/entry/DirectEntryState.h
+++ b/hawthornroad/entry/DirectEntryState.h
@@ -39,7 +39,7 @@
   // ---- SessionHandler
   void onRequest(const std::shared_ptr<ServerSession> &S,
                  InboundRequest R) override;
-  void onCallerGone(ServerSession &S) override;
+  void onCallerDisconnected(ServerSession &S) override;
 
   // ---- TrafficPort
   void beginAttempt(AttemptNumber A, const Call &C,
@@ -89,14 +89,14 @@
     explicit StatusHandler(State &Owner) : Owner_(Owner) {}
     void onRequest(const std::shared_ptr<ServerSession> &S,
                    InboundRequest R) override {
-      if (platform::isReadyQuestion(R))
+      if (platform::isReadinessProbe(R))
         Owner_.answerReady(*S);
       else if (R.Target_ == "/metrics")
         Owner_.answerMetrics(*S);
       else
         S->respond(404, {}, "");
     }
-    void onCallerGone(ServerSession &) override {}
+    void onCallerDisconnected(ServerSession &) override {}
   };
 
   StoreEntrySettings Settings_;
--- a/hawthornroad/entry/EntryCalls.cpp
+++ b/hawthornroad/entry/EntryCalls.cpp
@@ -16,7 +16,7 @@
 
 void DirectEntry::State::onRequest(const std::shared_ptr<ServerSession> &S,
                                    InboundRequest R) {
-  if (platform::isReadyQuestion(R))
+  if (platform::isReadinessProbe(R))
     return answerReady(*S);
   CallNumber N = NextCall_++;
   S->setTag(N);
@@ -24,7 +24,7 @@
   Core_.arrive(N, platform::decodeCall(std::move(R)), bootNow());
 }
 
-void DirectEntry::State::onCallerGone(ServerSession &S) {
+void DirectEntry::State::onCallerDisconnected(ServerSession &S) {
   CallNumber N = S.tag();
   Sessions_.erase(N);
   Core_.callerGone(N, bootNow());
@@ -101,7 +101,7 @@
   E.OnEnd_ = [this, A](bool) {
     auto Found = Attempts_.find(A);
     if (Found != Attempts_.end()) {
-      Links_.giveBack(Found->second.Endpoint_, Found->second.Link_);
+      Links_.putBack(Found->second.Endpoint_, Found->second.Link_);
       Attempts_.erase(Found);
     }
     Core_.onEnd(A, bootNow());
--- a/hawthornroad/entry/EntryTables.cpp
+++ b/hawthornroad/entry/EntryTables.cpp
@@ -25,7 +25,7 @@
     try {
       if (Row.Key_ == platform::ConfigKey) {
         applyConfig(Row.Value_);
-      } else if (auto V = platform::decodeVersion(Row.Key_, Row.Value_)) {
+      } else if (auto V = platform::decodeVersionRow(Row.Key_, Row.Value_)) {
         TimePoint Named =
             earliestChange(Core_.lease().provenAt(), Now, MaxVersionAge);
         TimePoint Bound = Named + Settings_.Common_.VersionBound_;
@@ -121,7 +121,7 @@
   std::set<std::string> Present;
   for (const auto &[Id, Each] : Core_.endpoints().all())
     Present.insert(Id.str());
-  Links_.keepOnly(Present);
+  Links_.retainOnly(Present);
   Core_.endpointsChanged(Now);
   updateWatchedEngines(Now);
 }
--- a/hawthornroad/http/ClientLink.cpp
+++ b/hawthornroad/http/ClientLink.cpp
@@ -18,21 +18,23 @@
 using asio::ip::tcp;
 
 namespace {
-// Kept small, since every open connection holds one.
+// Kept small, since every open connection has such a buffer.
 constexpr std::size_t ReadSize = 4 * 1024;
 
-// "timeout=5, max=100" names how long the server keeps an unused connection.
-std::optional<Duration> keepAliveOf(std::string_view Value) {
+// Parses a Keep-Alive value such as "timeout=5, max=100": how long the server
+// keeps an idle connection open.
+std::optional<Duration> parseKeepAliveTimeout(std::string_view Value) {
   constexpr std::string_view Key = "timeout=";
   std::size_t At = Value.find(Key);
   if (At == std::string_view::npos)
     return std::nullopt;
-  int Whole = 0;
+  int TimeoutSeconds = 0;
   const char *First = Value.data() + At + Key.size();
-  auto Result = std::from_chars(First, Value.data() + Value.size(), Whole);
+  auto Result =
+      std::from_chars(First, Value.data() + Value.size(), TimeoutSeconds);
   if (Result.ec != std::errc())
     return std::nullopt;
-  return Seconds(Whole);
+  return Seconds(TimeoutSeconds);
 }
 } // namespace
 
@@ -43,7 +45,7 @@
 
 void ClientLink::send(std::string Text, Events E) {
   Busy_ = true;
-  Sent_ = Written_ = HeadPassed_ = false;
+  WriteStarted_ = Written_ = HeadDelivered_ = false;
   HeadRequest_ = Text.starts_with("HEAD ");
   Out_ = std::move(Text);
   Events_ = std::move(E);
@@ -64,8 +66,8 @@
     Target = parseAddress(Address_, Step::Connect);
   } catch (const Error &E) {
     asio::post(Socket_.get_executor(),
-               [Self = shared_from_this(), Why = E.message()] {
-                 Self->fail(Step::Connect, Why);
+               [Self = shared_from_this(), Reason = E.message()] {
+                 Self->fail(Step::Connect, Reason);
                });
     return;
   }
@@ -115,8 +117,9 @@
 }
 
 void ClientLink::write() {
-  // Set before the first write: one that fails half-way may still deliver.
-  Sent_ = true;
+  // Set before the first write: a write that fails half-way may still have
+  // delivered bytes.
+  WriteStarted_ = true;
   boost::system::error_code Code;
   Socket_.non_blocking(true, Code);
   std::size_t Done = Socket_.write_some(asio::buffer(Out_), Code);
@@ -134,7 +137,8 @@
                                                 std::size_t) {
                       if (Self->Closed_)
                         return;
-                      // The answer may be on its way: the reader tells.
+                      // The answer may still arrive: the read reports the
+                      // outcome.
                       if (!Error)
                         Self->Written_ = true;
                     });
@@ -156,20 +160,20 @@
 
 void ClientLink::onRead(boost::system::error_code Code, std::size_t Bytes) {
   if (!Busy_) {
-    // The server closed an unused connection, or sent bytes nobody asked for.
-    auto Told = std::exchange(IdleEnd_, nullptr);
+    // The server closed an idle connection or sent unsolicited bytes.
+    auto Callback = std::exchange(IdleEnd_, nullptr);
     close();
-    if (Told)
-      Told();
+    if (Callback)
+      Callback();
     return;
   }
   if (Code == asio::error::eof) {
-    boost::system::error_code Why;
+    boost::system::error_code EofError;
     bool NeedsEof = Parser_->is_header_done() && Parser_->need_eof();
     if (!NeedsEof)
       return fail(Step::Receive, "the connection ended within the answer");
-    Parser_->put_eof(Why);
-    return ended(false);
+    Parser_->put_eof(EofError);
+    return finishAnswer(false);
   }
   if (Code)
     return fail(Step::Receive, Code.message());
@@ -187,8 +191,8 @@
     In_.consume(Used);
     if (Code && Code != http::error::need_more)
       return fail(Step::Receive, "not an answer: " + Code.message());
-    if (Parser_->is_header_done() && !HeadPassed_) {
-      // An interim answer precedes the real one.
+    if (Parser_->is_header_done() && !HeadDelivered_) {
+      // An interim (1xx) answer precedes the final one.
       if (Parser_->get().result_int() < 200 && Parser_->is_done()) {
         Parser_.emplace();
         Parser_->header_limit(static_cast<std::uint32_t>(Options_.MaxHeader_));
@@ -196,33 +200,33 @@
         Parser_->eager(true);
         continue;
       }
-      takeHead();
+      processHead();
     }
     if (Closed_ || !Busy_)
       return;
-    passBody();
+    deliverBody();
     if (Closed_ || !Busy_)
       return;
     if (Parser_->is_done())
-      return ended(true);
+      return finishAnswer(true);
     if (Used == 0)
       return;
   }
 }
 
-void ClientLink::takeHead() {
-  HeadPassed_ = true;
+void ClientLink::processHead() {
+  HeadDelivered_ = true;
   HeaderFields Fields;
   for (const auto &Field : Parser_->get())
     Fields.push_back(
         {std::string(Field.name_string()), std::string(Field.value())});
   if (const std::string *Value = findField(Fields, "Keep-Alive"))
-    Keeps_ = keepAliveOf(*Value);
+    ServerIdleTimeout_ = parseKeepAliveTimeout(*Value);
   if (Events_.OnHead_)
     Events_.OnHead_(Parser_->get().result_int(), std::move(Fields));
 }
 
-void ClientLink::passBody() {
+void ClientLink::deliverBody() {
   std::string &Body = Parser_->get().body();
   if (Body.empty())
     return;
@@ -232,11 +236,11 @@
     Events_.OnBody_(std::move(Bytes));
 }
 
-void ClientLink::ended(bool IsFramed) {
+void ClientLink::finishAnswer(bool IsFramed) {
   bool KeepsOpen =
       IsFramed && Parser_->get().keep_alive() && Written_ && In_.size() == 0;
   Busy_ = false;
-  FreeSince_ = bootNow();
+  IdleSince_ = bootNow();
   if (!KeepsOpen)
     close();
   Events E = std::exchange(Events_, {});
@@ -248,7 +252,7 @@
   if (Closed_)
     return;
   Busy_ = false;
-  bool NeverSent = !Sent_;
+  bool NeverSent = !WriteStarted_;
   close();
   Events E = std::exchange(Events_, {});
   if (E.OnFail_)
--- a/hawthornroad/http/ClientLink.h
+++ b/hawthornroad/http/ClientLink.h
@@ -1,4 +1,5 @@
-// One kept connection to a server: a request at a time, the answer as it comes.
+// A persistent HTTP/1.1 client connection: one request at a time, the answer
+// delivered as it arrives.
 //
 //   auto L = std::make_shared<ClientLink>(Context, "10.0.0.7:80", Options);
 //   L->onIdleEnd([] {...});                  // closed while unused
@@ -6,15 +7,16 @@
 //                                  .OnEnd_ = ..., .OnFail_ = ...});
 //   L->abandon();                            // closes; no further callback
 //
-// What counts as a whole answer: a length reached, a last chunk, or, with
-// neither, an orderly end of the connection; a reset never ends an answer.
-// A connection is used again only if its answer was whole, said nothing of
-// closing, came after the request had been written in full, and no byte came
-// beyond it. Bytes that arrive while no request is in progress belong to no
-// request and end the connection.
+// An answer is complete when its length is reached, its last chunk has arrived
+// or, with neither, the server closes the connection in order; a reset never
+// completes an answer. A connection is reused only if its answer was complete,
+// did not ask to close, arrived after the request had been written in full, and
+// was followed by no further byte. Bytes that arrive while no request is in
+// progress belong to no request and close the connection.
 //
-// What failed requests may have done: LinkFailure::NeverSent says that no byte
-// of the request was handed to the kernel on an established connection.
+// Failures: LinkFailure::NeverSent_ means that no byte of the request was
+// handed to the kernel on an established connection, so the server cannot have
+// run it.
 
 #ifndef HAWTHORNROAD_HTTP_CLIENTLINK_H
 #define HAWTHORNROAD_HTTP_CLIENTLINK_H
@@ -47,26 +49,28 @@
     Duration ConnectTimeout_ = Milliseconds(1000);
     std::size_t MaxHeader_ = 32 * 1024;
     std::size_t MaxBody_ = 64 * 1024 * 1024;
-    // Sent bytes unacknowledged for this long break the connection: a machine
-    // without power or behind a cut sends no reset.
+    // The connection fails when sent bytes stay unacknowledged for this long: a
+    // machine without power or behind a network partition sends no reset.
     Duration UnackedLimit_ = Milliseconds(2500);
-    // Probes an unused or waiting connection, for one that has gone silent
-    // shows in nothing else: 2 s until the first, 1 s to each of the next two.
+    // Sends TCP keep-alive probes on an idle or waiting connection, since a
+    // lost peer cannot be detected otherwise: the first after 2 s, the next two
+    // 1 s apart.
     bool KeepAlive_ = false;
   };
   struct Events {
     std::function<void(unsigned Status, HeaderFields)> OnHead_;
     std::function<void(std::string)> OnBody_;
-    // The answer is whole. Clean: its end was told by its own framing.
+    // The answer is complete. IsFramed: its end was marked by a length or a
+    // last chunk, not by the end of the connection.
     std::function<void(bool IsFramed)> OnEnd_;
     std::function<void(const LinkFailure &)> OnFail_;
   };
 
   ClientLink(boost::asio::io_context &Context, std::string Address, Options O);
 
-  // The link must be free. Connects first if need be.
+  // Requires isFree(). Connects first if necessary.
   void send(std::string Text, Events E);
-  // Ends the connection and whatever is in progress, without callbacks.
+  // Closes the connection and drops a request in progress, without callbacks.
   void abandon();
   // Called once if the connection ends while no request is in progress.
   void onIdleEnd(std::function<void()> Handler) {
@@ -77,10 +81,12 @@
   bool isClosed() const { return Closed_; }
   bool isConnected() const { return Connected_ && !Closed_; }
   const std::string &address() const { return Address_; }
-  // When the last answer ended, and how long the server keeps an unused
-  // connection, if it said so.
-  TimePoint freeSince() const { return FreeSince_; }
-  const std::optional<Duration> &serverKeeps() const { return Keeps_; }
+  // When the last answer ended, and how long the server keeps an idle
+  // connection open, if its Keep-Alive header says so.
+  TimePoint idleSince() const { return IdleSince_; }
+  const std::optional<Duration> &serverIdleTimeout() const {
+    return ServerIdleTimeout_;
+  }
 
 private:
   using Parser =
@@ -92,9 +98,9 @@
   void read();
   void onRead(boost::system::error_code Code, std::size_t Bytes);
   void parse();
-  void takeHead();
-  void passBody();
-  void ended(bool IsFramed);
+  void processHead();
+  void deliverBody();
+  void finishAnswer(bool IsFramed);
   void fail(Step Where, const std::string &Message);
   void close();
 
@@ -107,15 +113,15 @@
   boost::beast::flat_buffer In_;
   std::optional<Parser> Parser_;
   std::string Out_;
-  TimePoint FreeSince_;
-  std::optional<Duration> Keeps_;
+  TimePoint IdleSince_;
+  std::optional<Duration> ServerIdleTimeout_;
   bool Connected_ = false;
   bool Connecting_ = false;
   bool Busy_ = false;
   bool Closed_ = false;
-  bool Sent_ = false;
+  bool WriteStarted_ = false;
   bool Written_ = false;
-  bool HeadPassed_ = false;
+  bool HeadDelivered_ = false;
   bool Reading_ = false;
   bool HeadRequest_ = false;
 };
--- a/hawthornroad/http/Framing.h
+++ b/hawthornroad/http/Framing.h
@@ -1,11 +1,11 @@
-// HTTP/1.1 messages as text, and the headers that concern one connection only.
+// Serializes HTTP/1.1 messages, and tells hop-by-hop from end-to-end headers.
 //
 //   std::string Wire = requestText(Request, "10.0.0.1:80");
-//   Wire = responseHead(200, Fields, Framing::Chunked, true);
+//   Wire = responseHead(200, Fields, BodyFraming::Chunked, 0, true);
 //   Wire += chunkText(Bytes); Wire += LastChunk;
 //
-// Parsing is Beast's; what is written is built here so that headers go out as
-// they came, in order and letter case.
+// Parsing is left to Boost.Beast. Messages are serialized here so that headers
+// keep the order and letter case in which they arrived.
 
 #ifndef HAWTHORNROAD_HTTP_FRAMING_H
 #define HAWTHORNROAD_HTTP_FRAMING_H
@@ -18,7 +18,7 @@
 
 namespace hawthornroad {
 
-// A message to be sent; the body's framing is set by what sends it.
+// A message to send; the sender chooses the body's framing.
 struct HttpMessage {
   std::string Method_ = "GET";
   std::string Target_ = "/";
@@ -26,21 +26,22 @@
   std::string Body_;
 };
 
-// How the end of a response's body is told.
+// How the end of a response's body is marked.
 enum class BodyFraming { Length, Chunked };
 
 inline constexpr std::string_view LastChunk = "0\r\n\r\n";
 
-// Whether Name concerns one connection and is never passed on.
+// Whether Name is a hop-by-hop header, which is never forwarded.
 bool isConnectionHeader(std::string_view Name);
 bool sameHeader(std::string_view A, std::string_view B);
-// The first field called Name, letter case ignored; null when absent.
+// The first field named Name, ignoring case; null when absent.
 const std::string *findField(const HeaderFields &Fields, std::string_view Name);
-// Fields without those that concern one connection, also by Connection's word.
+// Fields without the hop-by-hop ones, including those that the Connection
+// header lists.
 HeaderFields endToEnd(HeaderFields Fields);
 
 std::string requestText(const HttpMessage &M, std::string_view Host);
-// Length is used with BodyFraming::Length only.
+// Length is used only with BodyFraming::Length.
 std::string responseHead(unsigned Status, const HeaderFields &Fields,
                          BodyFraming Framing, std::size_t Length,
                          bool KeepOpen);
--- a/hawthornroad/http/HttpCalls.cpp
+++ b/hawthornroad/http/HttpCalls.cpp
@@ -15,7 +15,7 @@
 } // namespace
 
 struct HttpCalls::State : std::enable_shared_from_this<HttpCalls::State> {
-  // One call, waiting or under way.
+  // One call, queued or in progress.
   struct Call {
     Call(asio::io_context &Context, HttpMessage M, Duration Limit, Done D)
         : Timer_(Context), Message_(std::move(M)), Limit_(Limit),
@@ -23,10 +23,10 @@
     asio::steady_timer Timer_;
     HttpMessage Message_;
     Duration Limit_;
-    TimePoint EndsBy_;
-    // Unset while it waits.
+    TimePoint TotalDeadline_;
+    // Null while the call is queued.
     std::shared_ptr<ClientLink> Link_;
-    // Unset once it has ended.
+    // Empty once the call has ended.
     Done Done_;
     HttpAnswer Answer_;
   };
@@ -37,30 +37,31 @@
 
   std::shared_ptr<ClientLink> take() {
     TimePoint Now = bootNow();
-    while (!Spare_.empty()) {
-      auto Link = Spare_.back();
-      Spare_.pop_back();
+    while (!Idle_.empty()) {
+      auto Link = Idle_.back();
+      Idle_.pop_back();
       if (Link->isFree() && Link->isConnected() &&
-          Now - Link->freeSince() < Options_.SpareFor_)
+          Now - Link->idleSince() < Options_.MaxIdleTime_)
         return Link;
       Link->abandon();
     }
     ClientLink::Options Link = Options_.Link_;
-    if (Options_.QuickDial_ > Duration::zero() && ++Dials_ % LongDialEach != 0)
-      Link.ConnectTimeout_ = Options_.QuickDial_;
+    if (Options_.ReconnectTimeout_ > Duration::zero() &&
+        ++Connects_ % FullTimeoutEvery != 0)
+      Link.ConnectTimeout_ = Options_.ReconnectTimeout_;
     return std::make_shared<ClientLink>(Context_, Address_, Link);
   }
 
-  // A spare is closed when its time is over, not when it is next looked for:
-  // servers count the connections of all callers.
-  void giveBack(const std::shared_ptr<ClientLink> &Link) {
-    if (!Link->isFree() || Spare_.size() >= Options_.MaxSpare_)
+  // A timer closes expired idle connections, rather than the next take():
+  // servers limit the connections of all callers together.
+  void putBack(const std::shared_ptr<ClientLink> &Link) {
+    if (!Link->isFree() || Idle_.size() >= Options_.MaxIdle_)
       return Link->abandon();
-    Spare_.push_back(Link);
+    Idle_.push_back(Link);
     if (SweepSet_)
       return;
     SweepSet_ = true;
-    Sweep_.expires_after(Options_.SpareFor_);
+    Sweep_.expires_after(Options_.MaxIdleTime_);
     Sweep_.async_wait([Weak = weak_from_this()](boost::system::error_code C) {
       auto Self = Weak.lock();
       if (C || !Self)
@@ -73,25 +74,25 @@
   void sweep() {
     TimePoint Now = bootNow();
     std::vector<std::shared_ptr<ClientLink>> Kept;
-    for (const auto &Link : Spare_) {
-      if (Link->isFree() && Now - Link->freeSince() < Options_.SpareFor_)
+    for (const auto &Link : Idle_) {
+      if (Link->isFree() && Now - Link->idleSince() < Options_.MaxIdleTime_)
         Kept.push_back(Link);
       else
         Link->abandon();
     }
-    Spare_.clear();
+    Idle_.clear();
     for (const auto &Link : Kept)
-      giveBack(Link);
+      putBack(Link);
   }
 
   void finish(const std::shared_ptr<Call> &C, Result R) {
     C->Timer_.cancel();
-    auto Told = std::exchange(C->Done_, nullptr);
-    if (!Told)
+    auto Callback = std::exchange(C->Done_, nullptr);
+    if (!Callback)
       return;
-    --UnderWay_;
+    --InProgress_;
     startNext();
-    Told(std::move(R));
+    Callback(std::move(R));
   }
 
   void cancel(const std::shared_ptr<Call> &C) {
@@ -99,7 +100,7 @@
       return;
     C->Timer_.cancel();
     C->Link_->abandon();
-    --UnderWay_;
+    --InProgress_;
     startNext();
   }
 
@@ -113,24 +114,26 @@
   }
 
   bool hasRoom() const {
-    return Options_.AtOnce_ == 0 || UnderWay_ < Options_.AtOnce_;
+    return Options_.MaxConcurrent_ == 0 ||
+           InProgress_ < Options_.MaxConcurrent_;
   }
 
-  void enter(const std::shared_ptr<Call> &C) {
+  void admit(const std::shared_ptr<Call> &C) {
     if (hasRoom())
       start(C);
     else
       Waiting_.push_back(C);
   }
 
-  // Gives the call its limit anew, up to the end of the whole.
-  void arm(const std::shared_ptr<Call> &C) {
+  // Restarts the call's time limit, capped by its total deadline.
+  void restartTimer(const std::shared_ptr<Call> &C) {
     if (!C->Done_)
       return;
-    C->Timer_.expires_after(std::min(C->Limit_, C->EndsBy_ - bootNow()));
+    C->Timer_.expires_after(std::min(C->Limit_, C->TotalDeadline_ - bootNow()));
     C->Timer_.async_wait([Self = shared_from_this(),
                           C](boost::system::error_code Code) {
-      // A wait that ended before it was renewed still runs, without an error.
+      // A timer that expired just before it was restarted still runs its
+      // handler, without an error.
       bool IsRenewed = C->Timer_.expiry() > std::chrono::steady_clock::now();
       if (Code || IsRenewed || !C->Done_)
         return;
@@ -141,11 +144,11 @@
   }
 
   void start(const std::shared_ptr<Call> &C) {
-    ++UnderWay_;
+    ++InProgress_;
     C->Link_ = take();
     auto Self = shared_from_this();
-    C->EndsBy_ = bootNow() + std::max(C->Limit_, Options_.WholeLimit_);
-    arm(C);
+    C->TotalDeadline_ = bootNow() + std::max(C->Limit_, Options_.TotalLimit_);
+    restartTimer(C);
     std::string Text = requestText(C->Message_, Address_);
     ++Counters_.Calls_;
     Counters_.BytesSent_ += Text.size();
@@ -158,11 +161,11 @@
       if (C->Answer_.Status_ == StatusOk)
         Self->Counters_.AnswerBytes_ += Bytes.size();
       C->Answer_.Body_ += Bytes;
-      if (Self->Options_.WholeLimit_ > Duration::zero())
-        Self->arm(C);
+      if (Self->Options_.TotalLimit_ > Duration::zero())
+        Self->restartTimer(C);
     };
     E.OnEnd_ = [Self, C](bool) {
-      Self->giveBack(C->Link_);
+      Self->putBack(C->Link_);
       Self->finish(C, std::move(C->Answer_));
     };
     E.OnFail_ = [Self, C](const LinkFailure &F) { Self->finish(C, F); };
@@ -172,21 +175,21 @@
   asio::io_context &Context_;
   std::string Address_;
   Options Options_;
-  std::vector<std::shared_ptr<ClientLink>> Spare_;
+  std::vector<std::shared_ptr<ClientLink>> Idle_;
   Counters Counters_;
-  static constexpr unsigned LongDialEach = 4;
-  unsigned Dials_ = 0;
+  static constexpr unsigned FullTimeoutEvery = 4;
+  unsigned Connects_ = 0;
   asio::steady_timer Sweep_;
   bool SweepSet_ = false;
   std::deque<std::shared_ptr<Call>> Waiting_;
-  std::size_t UnderWay_ = 0;
+  std::size_t InProgress_ = 0;
 };
 
 HttpCalls::HttpCalls(asio::io_context &Context, std::string Address, Options O)
     : State_(std::make_shared<State>(Context, std::move(Address), O)) {}
 
 HttpCalls::~HttpCalls() {
-  for (const auto &Each : State_->Spare_)
+  for (const auto &Each : State_->Idle_)
     Each->abandon();
 }
 
@@ -194,7 +197,7 @@
                                   Done D) {
   auto C =
       std::make_shared<State::Call>(State_->Context_, M, Limit, std::move(D));
-  State_->enter(C);
+  State_->admit(C);
   return [WeakState = std::weak_ptr(State_), WeakCall = std::weak_ptr(C)] {
     auto Owner = WeakState.lock();
     auto Call = WeakCall.lock();
--- a/hawthornroad/http/LinkPool.cpp
+++ b/hawthornroad/http/LinkPool.cpp
@@ -5,27 +5,28 @@
 namespace hawthornroad {
 
 LinkPool::~LinkPool() {
-  for (auto &[Id, Links] : Spare_)
+  for (auto &[Id, Links] : Idle_)
     for (const auto &Each : Links)
       Each->abandon();
 }
 
-bool LinkPool::isFit(const ClientLink &L, TimePoint Now) const {
+bool LinkPool::isReusable(const ClientLink &L, TimePoint Now) const {
   if (!L.isFree() || !L.isConnected())
     return false;
-  Duration Most = L.serverKeeps() ? *L.serverKeeps() - Options_.SafetyGap_
-                                  : Options_.UnnamedIdle_;
-  return Now - L.freeSince() < Most;
+  Duration Limit = L.serverIdleTimeout()
+                       ? *L.serverIdleTimeout() - Options_.SafetyMargin_
+                       : Options_.DefaultMaxIdle_;
+  return Now - L.idleSince() < Limit;
 }
 
 std::shared_ptr<ClientLink> LinkPool::take(const std::string &Endpoint,
                                            const std::string &Address) {
   TimePoint Now = bootNow();
-  auto Found = Spare_.find(Endpoint);
-  while (Found != Spare_.end() && !Found->second.empty()) {
+  auto Found = Idle_.find(Endpoint);
+  while (Found != Idle_.end() && !Found->second.empty()) {
     auto Link = Found->second.back();
     Found->second.pop_back();
-    if (isFit(*Link, Now) && Link->address() == Address)
+    if (isReusable(*Link, Now) && Link->address() == Address)
       return Link;
     Link->abandon();
   }
@@ -33,16 +34,16 @@
   return std::make_shared<ClientLink>(Context_, Address, Options_.Link_);
 }
 
-void LinkPool::giveBack(const std::string &Endpoint,
-                        const std::shared_ptr<ClientLink> &Link) {
-  auto &Spare = Spare_[Endpoint];
-  if (!Link->isFree() || Spare.size() >= Options_.SparePerEndpoint_)
+void LinkPool::putBack(const std::string &Endpoint,
+                       const std::shared_ptr<ClientLink> &Link) {
+  auto &Idle = Idle_[Endpoint];
+  if (!Link->isFree() || Idle.size() >= Options_.MaxIdlePerEndpoint_)
     return Link->abandon();
-  Spare.push_back(Link);
+  Idle.push_back(Link);
 }
 
-void LinkPool::keepOnly(const std::set<std::string> &Endpoints) {
-  std::erase_if(Spare_, [&](auto &Each) {
+void LinkPool::retainOnly(const std::set<std::string> &Endpoints) {
+  std::erase_if(Idle_, [&](auto &Each) {
     if (Endpoints.contains(Each.first))
       return false;
     for (const auto &Link : Each.second)
@@ -52,18 +53,18 @@
 }
 
 void LinkPool::drop(const std::string &Endpoint) {
-  auto Found = Spare_.find(Endpoint);
-  if (Found == Spare_.end())
+  auto Found = Idle_.find(Endpoint);
+  if (Found == Idle_.end())
     return;
   for (const auto &Link : Found->second)
     Link->abandon();
-  Spare_.erase(Found);
+  Idle_.erase(Found);
 }
 
 void LinkPool::sweep(TimePoint Now) {
-  for (auto &[Id, Links] : Spare_)
+  for (auto &[Id, Links] : Idle_)
     std::erase_if(Links, [&](const std::shared_ptr<ClientLink> &Link) {
-      if (isFit(*Link, Now))
+      if (isReusable(*Link, Now))
         return false;
       Link->abandon();
       return true;
--- a/hawthornroad/http/LinkPool.h
+++ b/hawthornroad/http/LinkPool.h
@@ -1,17 +1,18 @@
-// Kept connections to endpoints, by endpoint.
+// A pool of idle connections to endpoints, by endpoint.
 //
 //   LinkPool Pool(Context, Options);
 //   std::shared_ptr<ClientLink> L = Pool.take(Id, "10.0.0.7:80");
 //   L->send(...);
-//   Pool.giveBack(Id, L);               // after a whole answer
-//   Pool.keepOnly(Ids);                 // endpoints that are still there
+//   Pool.putBack(Id, L);               // after a complete answer
+//   Pool.retainOnly(Ids);                 // endpoints that still exist
 //
-// New connections are dear, so one is used again while the endpoint keeps it.
-// An endpoint closes unused ones after a time it may name; a request that meets
-// that close cannot be told from one that ran. So a connection unused for
-// longer than the named time less SafetyGap, or than UnnamedIdle, is closed
-// here and never used. The most lately used connection goes first, so spares
-// of a burst fall out of use and end.
+// New connections are expensive, so one is reused while the endpoint keeps it
+// open. An endpoint closes idle connections after a timeout that it may
+// announce; a request that crosses that close cannot be told from one that ran.
+// So a connection idle for longer than the announced timeout less
+// SafetyMargin_, or than DefaultMaxIdle_, is closed here and never reused. The
+// most recently used connection is taken first, so that the extra connections
+// of a burst expire.
 
 #ifndef HAWTHORNROAD_HTTP_LINKPOOL_H
 #define HAWTHORNROAD_HTTP_LINKPOOL_H
@@ -29,11 +30,11 @@
 public:
   struct Options {
     ClientLink::Options Link_;
-    // Round trip to the farthest zone and a pause of either process.
-    Duration SafetyGap_ = Milliseconds(400);
-    // For endpoints that name no time.
-    Duration UnnamedIdle_ = Milliseconds(700);
-    std::size_t SparePerEndpoint_ = 32;
+    // Covers a round trip to the farthest zone and a pause of either process.
+    Duration SafetyMargin_ = Milliseconds(400);
+    // For endpoints that announce no timeout.
+    Duration DefaultMaxIdle_ = Milliseconds(700);
+    std::size_t MaxIdlePerEndpoint_ = 32;
   };
 
   LinkPool(boost::asio::io_context &Context, Options O)
@@ -42,23 +43,24 @@
 
   std::shared_ptr<ClientLink> take(const std::string &Endpoint,
                                    const std::string &Address);
-  void giveBack(const std::string &Endpoint,
-                const std::shared_ptr<ClientLink> &Link);
-  // Closes the spares of all others.
-  void keepOnly(const std::set<std::string> &Endpoints);
-  // Closes an endpoint's spares: they belong to a start that has ended.
+  void putBack(const std::string &Endpoint,
+               const std::shared_ptr<ClientLink> &Link);
+  // Closes the idle connections of all other endpoints.
+  void retainOnly(const std::set<std::string> &Endpoints);
+  // Closes an endpoint's idle connections: they belong to a process that has
+  // ended.
   void drop(const std::string &Endpoint);
-  // Closes spares that may not be used any more.
+  // Closes idle connections that may not be reused any more.
   void sweep(TimePoint Now);
 
   std::uint64_t opened() const { return Opened_; }
 
 private:
-  bool isFit(const ClientLink &L, TimePoint Now) const;
+  bool isReusable(const ClientLink &L, TimePoint Now) const;
 
   boost::asio::io_context &Context_;
   Options Options_;
-  std::map<std::string, std::vector<std::shared_ptr<ClientLink>>> Spare_;
+  std::map<std::string, std::vector<std::shared_ptr<ClientLink>>> Idle_;
   std::uint64_t Opened_ = 0;
 };
 
--- a/hawthornroad/http/ServerSession.cpp
+++ b/hawthornroad/http/ServerSession.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 // A request with its headers is about 1 KB; kept small, since every open
-// connection holds one.
+// connection has such a buffer.
 constexpr std::size_t ReadSize = 4 * 1024;
-// Bytes of following requests kept while one is in progress.
-constexpr std::size_t ReadAhead = 64 * 1024;
-// How long an ended connection is read on, for the caller to take the answer:
-// many round trips between two regions.
-constexpr Duration LingerFor = Seconds(1);
-// Timeouts are seconds long; a sweep this often keeps them to a tenth.
+// Bytes of following requests buffered while one is in progress.
+constexpr std::size_t MaxReadAhead = 64 * 1024;
+// How long a connection is read after its sending side was shut down, so that
+// the caller receives the answer: many round trips between two regions.
+constexpr Duration LingerTime = Seconds(1);
+// Timeouts are seconds long; this period keeps them accurate to about a tenth.
 constexpr Duration SweepPeriod = Milliseconds(250);
 
 namespace status {
@@ -42,7 +42,8 @@
 } // namespace
 
 ServerSession::ServerSession(Socket S, std::shared_ptr<HttpListener> Owner)
-    : Socket_(std::move(S)), Owner_(std::move(Owner)), Since_(Owner_->now()) {
+    : Socket_(std::move(S)), Owner_(std::move(Owner)),
+      StateSince_(Owner_->now()) {
   Owner_->Sessions_.insert(this);
 }
 
@@ -55,7 +56,7 @@
 }
 
 void ServerSession::read() {
-  if (Reading_ || Closed_ || (InRequest_ && In_.size() >= ReadAhead))
+  if (Reading_ || Closed_ || (InRequest_ && In_.size() >= MaxReadAhead))
     return;
   Reading_ = true;
   Socket_.async_read_some(
@@ -71,20 +72,20 @@
   if (Closed_)
     return;
   if (Code)
-    return onEnd();
-  // After its end the connection is only read until the caller closes.
-  if (!SentEnd_)
+    return onDisconnect();
+  // After the shutdown, input is only discarded until the caller closes.
+  if (!SendShutdown_)
     In_.commit(Bytes);
-  if (!InRequest_ && !SentEnd_ && !EndAfterFlush_)
+  if (!InRequest_ && !SendShutdown_ && !EndAfterFlush_)
     parse();
   read();
 }
 
-// The caller closed its side or the connection broke. Half-closed callers that
-// still read are taken for gone: none of the callers does that.
-void ServerSession::onEnd() {
+// The caller closed its side or the connection failed. A half-closed caller
+// counts as disconnected, even if it still reads: no caller does that.
+void ServerSession::onDisconnect() {
   if (InRequest_)
-    Owner_->Handler_.onCallerGone(*this);
+    Owner_->Handler_.onCallerDisconnected(*this);
   close();
 }
 
@@ -97,7 +98,7 @@
         static_cast<std::uint32_t>(Owner_->Limits_.HeaderBytes_));
     Parser_->body_limit(Owner_->Limits_.BodyBytes_);
     Parser_->eager(true);
-    Since_ = Owner_->now();
+    StateSince_ = Owner_->now();
     ContinueSent_ = false;
   }
   boost::system::error_code Code;
@@ -120,7 +121,7 @@
   Parser_.reset();
   InRequest_ = true;
   Streaming_ = false;
-  KeepOpen_ = Message.keep_alive() && !Owner_->Leaving_;
+  KeepOpen_ = Message.keep_alive() && !Owner_->Draining_;
   CanChunk_ = Message.version() >= 11;
   IsHead_ = Message.method() == http::verb::head;
   InboundRequest R;
@@ -143,25 +144,24 @@
                             std::string Body) {
   if (Closed_ || !InRequest_)
     return;
-  KeepOpen_ = KeepOpen_ && !Owner_->Leaving_;
+  KeepOpen_ = KeepOpen_ && !Owner_->Draining_;
   std::string Text =
       responseHead(Status, Fields, BodyFraming::Length, Body.size(), KeepOpen_);
   if (!IsHead_)
     Text += Body;
   send(std::move(Text));
-  answered();
+  onAnswerSent();
 }
 
 void ServerSession::begin(unsigned Status, const HeaderFields &Fields) {
   if (Closed_ || !InRequest_)
     return;
   Streaming_ = true;
-  KeepOpen_ = KeepOpen_ && CanChunk_ && !Owner_->Leaving_;
+  KeepOpen_ = KeepOpen_ && CanChunk_ && !Owner_->Draining_;
   if (CanChunk_)
     return send(
         responseHead(Status, Fields, BodyFraming::Chunked, 0, KeepOpen_));
-  // An HTTP/1.0 caller knows no chunks: the end of the connection ends the
-  // body.
+  // HTTP/1.0 has no chunked encoding: the end of the connection ends the body.
   std::string Text = "HTTP/1.1 " + std::to_string(Status) + " \r\n";
   for (const HeaderField &Each : Fields)
     Text += Each.Name_ + ": " + Each.Value_ + "\r\n";
@@ -179,7 +179,7 @@
     return;
   if (CanChunk_)
     send(std::string(LastChunk));
-  answered();
+  onAnswerSent();
 }
 
 void ServerSession::abort() {
@@ -190,17 +190,17 @@
   close();
 }
 
-void ServerSession::answered() {
+void ServerSession::onAnswerSent() {
   InRequest_ = false;
   Streaming_ = false;
-  Since_ = Owner_->now();
+  StateSince_ = Owner_->now();
   if (!KeepOpen_) {
     EndAfterFlush_ = true;
     flush();
     return;
   }
-  // A next request may have come meanwhile; it is taken up from the loop, not
-  // from within the answer to the one before.
+  // A following request may have arrived meanwhile; it is parsed from the event
+  // loop, not from within the answer to the previous one.
   if (In_.size() > 0)
     asio::post(Socket_.get_executor(), [Self = shared_from_this()] {
       if (!Self->Closed_ && !Self->InRequest_ && !Self->EndAfterFlush_)
@@ -216,20 +216,20 @@
     Out_ += Text;
   if (Out_.size() > Owner_->Limits_.MaxBacklog_ && Streaming_) {
     if (InRequest_)
-      Owner_->Handler_.onCallerGone(*this);
+      Owner_->Handler_.onCallerDisconnected(*this);
     return abort();
   }
   flush();
 }
 
-// Most answers fit the socket's buffer: they are written at once, which saves
-// a turn of the loop.
+// Most answers fit into the socket's buffer: they are written directly, which
+// saves a pass of the event loop.
 void ServerSession::flush() {
   if (Closed_ || !Writing_.empty())
     return;
   if (Out_.empty()) {
     if (EndAfterFlush_)
-      endSending();
+      shutdownSending();
     return;
   }
   boost::system::error_code Code;
@@ -237,13 +237,13 @@
   std::size_t Sent = Socket_.write_some(asio::buffer(Out_), Code);
   if (Code && Code != asio::error::would_block) {
     if (InRequest_)
-      Owner_->Handler_.onCallerGone(*this);
+      Owner_->Handler_.onCallerDisconnected(*this);
     return close();
   }
   if (!Code && Sent == Out_.size()) {
     Out_.clear();
     if (EndAfterFlush_)
-      endSending();
+      shutdownSending();
     return;
   }
   Writing_.swap(Out_);
@@ -257,30 +257,32 @@
                         return;
                       if (Error) {
                         if (Self->InRequest_)
-                          Self->Owner_->Handler_.onCallerGone(*Self);
+                          Self->Owner_->Handler_.onCallerDisconnected(*Self);
                         return Self->close();
                       }
                       Self->flush();
                     });
 }
 
-void ServerSession::endSending() {
-  if (SentEnd_)
+void ServerSession::shutdownSending() {
+  if (SendShutdown_)
     return;
-  SentEnd_ = true;
-  Since_ = Owner_->now();
+  SendShutdown_ = true;
+  StateSince_ = Owner_->now();
   boost::system::error_code Ignored;
   Socket_.shutdown(tcp::socket::shutdown_send, Ignored);
   read();
 }
 
-// One that has just been answered stays open for a while: its caller may not
-// know of the stop, and a next request it has sent gets an answer. Later a
-// request that crosses the close stays unread, which its caller sees.
-void ServerSession::leave() {
-  if (Closed_ || InRequest_ || SentEnd_ || hasPartial() || In_.size() > 0)
+// A connection that has just been answered stays open for LingerTime: its
+// caller may not know of the shutdown, and a request that it has already sent
+// gets an answer. A request that crosses a later close stays unread, which its
+// caller can detect.
+void ServerSession::closeIfIdle() {
+  if (Closed_ || InRequest_ || SendShutdown_ || hasPartial() || In_.size() > 0)
     return;
-  if (Out_.empty() && Writing_.empty() && Owner_->now() - Since_ > LingerFor)
+  if (Out_.empty() && Writing_.empty() &&
+      Owner_->now() - StateSince_ > LingerTime)
     close();
 }
 
@@ -295,9 +297,9 @@
 void ServerSession::check(TimePoint Now) {
   if (Closed_ || InRequest_)
     return;
-  Duration Age = Now - Since_;
-  if (SentEnd_) {
-    if (Age >= LingerFor)
+  Duration Age = Now - StateSince_;
+  if (SendShutdown_) {
+    if (Age >= LingerTime)
       close();
     return;
   }
@@ -335,7 +337,7 @@
                               boost::system::error_code Code, tcp::socket S) {
     if (Code == asio::error::operation_aborted)
       return;
-    // Beyond the bound the socket closes here, unread: its caller may retry.
+    // Above the limit the socket is closed unread: its caller may retry.
     if (!Code && Self->Sessions_.size() < Self->Limits_.Connections_)
       std::make_shared<ServerSession>(std::move(S), Self)->start();
     Self->accept();
@@ -365,14 +367,14 @@
     Acceptor_->close(Ignored);
 }
 
-void HttpListener::leaveAll() {
-  Leaving_ = true;
+void HttpListener::drainAll() {
+  Draining_ = true;
   std::vector<std::shared_ptr<ServerSession>> Live;
   for (ServerSession *Each : Sessions_)
     if (auto Held = Each->weak_from_this().lock())
       Live.push_back(std::move(Held));
   for (const auto &Each : Live)
-    Each->leave();
+    Each->closeIfIdle();
 }
 
 void HttpListener::closeAll() {
--- a/hawthornroad/http/ServerSession.h
+++ b/hawthornroad/http/ServerSession.h
@@ -1,28 +1,30 @@
-// One connection of a caller: requests one after another, answers whole or as
-// streams.
+// A caller's connection: requests one after another, answers sent at once or
+// streamed.
 //
 //   struct Handler : SessionHandler {
 //     void onRequest(std::shared_ptr<ServerSession> S, InboundRequest R)
-//     override; void onCallerGone(ServerSession &S) override;
+//     override; void onCallerDisconnected(ServerSession &S) override;
 //   };
 //   HttpListener L(Context, Limits, Handler);
 //   L.open("10.0.0.1:8005");
 //   S->respond(200, Fields, Body);
 //   S->begin(200, Fields); S->write(Bytes); S->finish();
 //
-// The connection is read also while a request is in progress, so that a caller
-// that leaves is noticed at once; bytes of a next request wait their turn.
-// A refusal for a malformed request ends the connection, since where the next
-// one begins is unknown.
+// The connection is read also while a request is in progress, so that a
+// disconnect is noticed at once; bytes of a following request are buffered.
+// A refusal of a malformed request closes the connection, since the start of
+// the next one is unknown.
 //
-// Ending. A connection with unread bytes is reset by the kernel when closed,
-// which would take the last answer from the caller. So an ended session shuts
-// down its sending side and reads on until the caller closes or LingerFor is
-// over. abort() resets on purpose: nobody may take the broken answer for whole.
+// Closing: the kernel resets a connection that is closed with unread bytes, and
+// the caller could lose the last answer. So an ended session shuts down its
+// sending side and reads on until the caller closes or LingerTime is over.
+// abort() resets on purpose, so that no caller takes the truncated answer for a
+// complete one.
 //
-// All of it runs on one thread. Bounds: Limits; at most ReadAhead bytes of
-// further requests are kept; a caller that leaves MaxBacklog bytes unread is
-// disconnected, since an event stream cannot be held back at its engine.
+// Single-threaded. Limits: SessionLimits; at most MaxReadAhead bytes of
+// following requests are buffered; a caller that leaves more than MaxBacklog_
+// bytes of a stream unread is disconnected, since the engine that produces an
+// event stream cannot be slowed down.
 
 #ifndef HAWTHORNROAD_HTTP_SERVERSESSION_H
 #define HAWTHORNROAD_HTTP_SERVERSESSION_H
@@ -58,8 +60,8 @@
   virtual ~SessionHandler() = default;
   virtual void onRequest(const std::shared_ptr<ServerSession> &S,
                          InboundRequest R) = 0;
-  // The caller of the request in progress has left.
-  virtual void onCallerGone(ServerSession &S) = 0;
+  // The caller of the request in progress has disconnected.
+  virtual void onCallerDisconnected(ServerSession &S) = 0;
 };
 
 struct SessionLimits {
@@ -71,7 +73,7 @@
   Duration BodyTimeout_ = Seconds(10);
   Duration IdleTimeout_ = Seconds(15);
   std::size_t Connections_ = 3000;
-  // An answer nobody reads is given up on beyond this.
+  // A stream is aborted when more than this many bytes are unread.
   std::size_t MaxBacklog_ = 1024 * 1024;
   bool operator==(const SessionLimits &) const = default;
 };
@@ -89,7 +91,7 @@
 
   void start();
 
-  // Each does nothing once the caller has gone.
+  // Each does nothing once the caller has disconnected.
   void respond(unsigned Status, const HeaderFields &Fields, std::string Body);
   void begin(unsigned Status, const HeaderFields &Fields);
   void write(std::string_view Bytes);
@@ -97,15 +99,15 @@
   void abort();
 
   bool isIdle() const { return !InRequest_ && !hasPartial(); }
-  // For the handler: which request this is, and whether one is in progress.
+  // For the handler: the tag of its request, and whether one is in progress.
   std::uint64_t tag() const { return Tag_; }
   void setTag(std::uint64_t T) { Tag_ = T; }
   bool inRequest() const { return InRequest_; }
-  // Closes a connection that has been idle for a while; one in use ends after
-  // its answer.
-  void leave();
+  // Closes a connection that has been idle for LingerTime; one in use closes
+  // after its answer.
+  void closeIfIdle();
   void close();
-  // What time makes due: called by the listener.
+  // Enforces the timeouts; called by the listener.
   void check(TimePoint Now);
 
 private:
@@ -116,13 +118,13 @@
   void read();
   void onRead(boost::system::error_code Code, std::size_t Bytes);
   void parse();
-  void onEnd();
+  void onDisconnect();
   void refuse(unsigned Status);
   void deliver();
   void send(std::string Text);
   void flush();
-  void answered();
-  void endSending();
+  void onAnswerSent();
+  void shutdownSending();
 
   Socket Socket_;
   std::shared_ptr<HttpListener> Owner_;
@@ -131,7 +133,7 @@
   std::string Out_;
   std::string Writing_;
   std::uint64_t Tag_ = 0;
-  TimePoint Since_;
+  TimePoint StateSince_;
   bool Reading_ = false;
   bool InRequest_ = false;
   bool KeepOpen_ = true;
@@ -139,7 +141,7 @@
   bool CanChunk_ = true;
   bool IsHead_ = false;
   bool EndAfterFlush_ = false;
-  bool SentEnd_ = false;
+  bool SendShutdown_ = false;
   bool Closed_ = false;
   bool ContinueSent_ = false;
 };
@@ -151,12 +153,12 @@
 
   // Throws Error(Step::Listen). Returns the address bound, "IP:port".
   std::string open(const std::string &Address);
-  // Sessions from now on keep to these.
+  // Takes effect from now on, also for open sessions.
   void setLimits(SessionLimits L) { Limits_ = L; }
   const SessionLimits &limits() const { return Limits_; }
   void stopAccepting();
-  // Ends every connection after its request in progress.
-  void leaveAll();
+  // Closes every connection after its request in progress.
+  void drainAll();
   void closeAll();
   std::size_t sessions() const { return Sessions_.size(); }
   std::size_t inRequest() const;
@@ -173,7 +175,7 @@
   std::optional<boost::asio::ip::tcp::acceptor> Acceptor_;
   boost::asio::steady_timer Sweep_;
   std::unordered_set<ServerSession *> Sessions_;
-  bool Leaving_ = false;
+  bool Draining_ = false;
 };
 
 } // namespace hawthornroad
--- a/hawthornroad/store/StoreClient.cpp
+++ b/hawthornroad/store/StoreClient.cpp
@@ -17,7 +17,7 @@
 HttpCalls::Options callOptions() {
   HttpCalls::Options O;
   O.Link_.ConnectTimeout_ = StoreClient::RetryTimeout;
-  O.WholeLimit_ = CallTimeout;
+  O.TotalLimit_ = CallTimeout;
   O.Link_.KeepAlive_ = true;
   return O;
 }
--- a/tests/unit/HttpCallsTest.cpp
+++ b/tests/unit/HttpCallsTest.cpp
@@ -1,4 +1,4 @@
-// Whole calls to one server, which answers as slowly as a full link makes it.
+// HTTP calls to one server that answers as slowly as over a saturated link.
 
 #include "hawthornroad/http/HttpCalls.h"
 #include "hawthornroad/runtime/Io.h"
@@ -11,38 +11,39 @@
 using namespace hawthornroad;
 
 namespace {
-constexpr auto Patience = std::chrono::seconds(5);
+constexpr auto WaitLimit = std::chrono::seconds(5);
 } // namespace
 
-// Thirty entries read one long configuration over one link between regions.
-// Each answer came steadily, but not whole within the limit: readers gave up
-// and began anew. One had the store back 17 s after the store had returned.
-TEST_CASE("calls to one server, given an answer that comes slowly, bound each "
-          "silence and the whole apart",
+// Guards against reads that never complete: thirty entries read one long
+// configuration over one link between regions. Each answer arrived steadily,
+// but not completely within the limit, so the readers aborted and restarted;
+// one entry had the configuration only 17 s after the store was back.
+TEST_CASE("calls to one server, given a slow answer, limit each gap and the "
+          "whole call separately",
           "[http]") {
   using std::chrono::milliseconds;
   struct Row {
     std::string Name_;
-    milliseconds Whole_;
+    milliseconds MaxTotal_;
     int Sent_;
-    bool IsWhole_;
+    bool IsComplete_;
   };
   constexpr int Pieces = 5;
   constexpr milliseconds Gap(120);
   constexpr milliseconds Limit(300);
   for (const Row &R : std::vector<Row>{
-           {"limit on the whole", milliseconds(0), Pieces, false},
-           {"limit on each silence", milliseconds(4000), Pieces, true},
+           {"limit on the whole call", milliseconds(0), Pieces, false},
+           {"limit on each gap", milliseconds(4000), Pieces, true},
            {"silent midway", milliseconds(4000), 2, false},
-           {"whole takes too long", milliseconds(400), Pieces, false}}) {
+           {"call takes too long", milliseconds(400), Pieces, false}}) {
     INFO(R.Name_);
     std::uint16_t Port = 0;
     RawSocket Listener = RawSocket::listenAt(Port);
     IoThread Io("test", 64);
     HttpCalls::Options O;
-    O.WholeLimit_ = R.Whole_;
+    O.TotalLimit_ = R.MaxTotal_;
     HttpCalls Calls(Io.context(), "127.0.0.1:" + std::to_string(Port), O);
-    std::promise<void> Told;
+    std::promise<void> ServerMayEnd;
     std::thread Server([&] {
       RawSocket S = Listener.accept();
       S.readUntil("\r\n\r\n");
@@ -52,7 +53,7 @@
         std::this_thread::sleep_for(Gap);
         S.trySend("x");
       }
-      Told.get_future().wait_for(Patience);
+      ServerMayEnd.get_future().wait_for(WaitLimit);
     });
     std::promise<HttpCalls::Result> Got;
     Io.submit([&] {
@@ -64,21 +65,21 @@
       });
     });
     auto Future = Got.get_future();
-    REQUIRE(Future.wait_for(Patience) == std::future_status::ready);
+    REQUIRE(Future.wait_for(WaitLimit) == std::future_status::ready);
     HttpCalls::Result Answer = Future.get();
-    Told.set_value();
+    ServerMayEnd.set_value();
     Server.join();
     Io.stop();
-    const auto *Whole = std::get_if<HttpAnswer>(&Answer);
-    REQUIRE((Whole != nullptr) == R.IsWhole_);
-    if (Whole != nullptr)
-      REQUIRE(Whole->Body_ == std::string(Pieces, 'x'));
+    const auto *Complete = std::get_if<HttpAnswer>(&Answer);
+    REQUIRE((Complete != nullptr) == R.IsComplete_);
+    if (Complete != nullptr)
+      REQUIRE(Complete->Body_ == std::string(Pieces, 'x'));
   }
 }
 
-// Guards against long answers that nobody waits for any more and that fill the
-// link: the server must see its connection end.
-TEST_CASE("calls to one server, cancelled while the answer comes, close the "
+// Guards against long answers that nobody waits for any more and that saturate
+// the link: the server must see its connection close.
+TEST_CASE("calls to one server, cancelled while the answer arrives, close the "
           "connection and give no result",
           "[http]") {
   std::uint16_t Port = 0;
@@ -100,7 +101,7 @@
     HttpMessage M;
     M.Method_ = "GET";
     M.Target_ = "/";
-    Cancel = Calls.call(M, Patience,
+    Cancel = Calls.call(M, WaitLimit,
                         [&](const HttpCalls::Result &) { HasResult = true; });
   });
   Begun.get_future().wait();
@@ -112,7 +113,7 @@
   });
   Done.get_future().wait();
   auto End = SawEnd.get_future();
-  // The socket's own limit on reading is longer than this.
+  // The socket's own read timeout is longer than this.
   REQUIRE(End.wait_for(std::chrono::seconds(2)) == std::future_status::ready);
   REQUIRE(End.get());
   Server.join();
--- a/tests/unit/HttpLinkTest.cpp
+++ b/tests/unit/HttpLinkTest.cpp
@@ -1,5 +1,5 @@
-// Kept connections to endpoints and from callers, against raw sockets that
-// behave as badly as endpoints and callers may.
+// Persistent connections to endpoints and from callers, against raw sockets
+// that misbehave as endpoints and callers may.
 
 #include "hawthornroad/http/LinkPool.h"
 #include "hawthornroad/http/ServerSession.h"
@@ -14,18 +14,18 @@
 using namespace hawthornroad;
 
 namespace {
-constexpr auto Patience = std::chrono::seconds(5);
+constexpr auto WaitLimit = std::chrono::seconds(5);
 
 struct LinkOutcome {
   unsigned Status_ = 0;
   std::string Body_;
-  bool Whole_ = false;
+  bool IsComplete_ = false;
   bool Failed_ = false;
   bool NeverSent_ = false;
   bool Reusable_ = false;
 };
 
-// Sends one request over L and tells how it ended.
+// Sends one request over L and returns how it ended.
 LinkOutcome sendOver(IoThread &Io, const std::shared_ptr<ClientLink> &L) {
   auto Out = std::make_shared<LinkOutcome>();
   auto Done = std::make_shared<std::promise<void>>();
@@ -37,7 +37,7 @@
     };
     E.OnBody_ = [=](const std::string &Bytes) { Out->Body_ += Bytes; };
     E.OnEnd_ = [=](bool) {
-      Out->Whole_ = true;
+      Out->IsComplete_ = true;
       Out->Reusable_ = L->isFree();
       Done->set_value();
     };
@@ -48,11 +48,11 @@
     };
     L->send("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi", E);
   });
-  REQUIRE(Ended.wait_for(Patience) == std::future_status::ready);
+  REQUIRE(Ended.wait_for(WaitLimit) == std::future_status::ready);
   return *Out;
 }
 
-void drop(IoThread &Io, const std::shared_ptr<ClientLink> &L) {
+void abandonAndWait(IoThread &Io, const std::shared_ptr<ClientLink> &L) {
   std::promise<void> Done;
   Io.submit([&] {
     L->abandon();
@@ -63,12 +63,12 @@
 } // namespace
 
 TEST_CASE("client link, given an answer in any framing, knows whether it is "
-          "whole and whether the connection may be used again",
+          "complete and whether the connection is reusable",
           "[http]") {
   struct Row {
     std::string Name_, Answer_;
     bool Reset_;
-    bool Whole_, Reusable_;
+    bool IsComplete_, Reusable_;
     std::string Body_;
   };
   const std::string Ok = "HTTP/1.1 200 OK\r\n";
@@ -119,14 +119,14 @@
         S.readUntil("never");
     });
     LinkOutcome Out = sendOver(Io, L);
-    REQUIRE(Out.Whole_ == R.Whole_);
-    REQUIRE(Out.Failed_ == !R.Whole_);
+    REQUIRE(Out.IsComplete_ == R.IsComplete_);
+    REQUIRE(Out.Failed_ == !R.IsComplete_);
     REQUIRE_FALSE(Out.NeverSent_);
-    if (R.Whole_) {
+    if (R.IsComplete_) {
       REQUIRE(Out.Body_ == R.Body_);
       REQUIRE(Out.Reusable_ == R.Reusable_);
     }
-    drop(Io, L);
+    abandonAndWait(Io, L);
     Server.join();
   }
 }
@@ -143,10 +143,9 @@
   REQUIRE(Out.NeverSent_);
 }
 
-// An endpoint sends a second answer after the first one. It belongs to no
-// request, least of all to the next on the connection.
-TEST_CASE("link pool, when bytes come on an unused connection, never uses it "
-          "again",
+// Guards against answering a request with stale bytes: an endpoint that sends a
+// second answer after the first must not have it taken for the next request's.
+TEST_CASE("link pool, when bytes arrive on an idle connection, never reuses it",
           "[http]") {
   std::uint16_t Port = 0;
   RawSocket Listener = RawSocket::listenAt(Port);
@@ -171,19 +170,19 @@
   };
   auto L1 = Take();
   REQUIRE(sendOver(Io, L1).Body_ == "a");
-  Io.submit([&] { Pool->giveBack("i-1", L1); });
+  Io.submit([&] { Pool->putBack("i-1", L1); });
   std::this_thread::sleep_for(std::chrono::milliseconds(150));
   auto L2 = Take();
   REQUIRE(L2 != L1);
   REQUIRE(sendOver(Io, L2).Body_ == "b");
   REQUIRE(Pool->opened() == 2);
-  drop(Io, L2);
+  abandonAndWait(Io, L2);
   Server.join();
   Io.stop();
 }
 
-TEST_CASE("link pool, when an endpoint names how long it keeps connections, "
-          "uses none that is nearly as old",
+TEST_CASE("link pool, when an endpoint announces its idle timeout, reuses no "
+          "connection that is close to it",
           "[http]") {
   struct Row {
     std::string KeepAlive_;
@@ -219,22 +218,22 @@
       Last = Got.get_future().get();
       REQUIRE(sendOver(Io, Last).Body_ == "a");
       if (N == 0) {
-        Io.submit([&] { Pool.giveBack("i-1", Last); });
+        Io.submit([&] { Pool.putBack("i-1", Last); });
         std::this_thread::sleep_for(std::chrono::milliseconds(R.PauseMs_));
       }
     }
     REQUIRE(Pool.opened() == R.Opened_);
-    drop(Io, Last);
+    abandonAndWait(Io, Last);
     Server.join();
     Io.stop();
   }
 }
 
 namespace {
-// Answers each request with its body; "/stream" as a stream, "/hold" never.
+// Echoes each request's body; "/stream" as a stream, "/hold" never.
 struct EchoHandler final : SessionHandler {
   std::atomic<int> Requests_{0};
-  std::atomic<int> Gone_{0};
+  std::atomic<int> Disconnects_{0};
   void onRequest(const std::shared_ptr<ServerSession> &S,
                  InboundRequest R) override {
     ++Requests_;
@@ -253,7 +252,7 @@
     }
     S->respond(200, {{"X-Target", R.Target_}}, R.Body_);
   }
-  void onCallerGone(ServerSession &) override { ++Gone_; }
+  void onCallerDisconnected(ServerSession &) override { ++Disconnects_; }
 };
 
 struct ListenerFixture {
@@ -294,15 +293,15 @@
   S.send("GET /stream HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(S.readUntil("0\r\n\r\n").find("3\r\none\r\n3\r\ntwo\r\n") !=
           std::string::npos);
-  // Two at once: the second waits its turn.
+  // Two pipelined requests: the second is answered after the first.
   S.send(
       "GET /c HTTP/1.1\r\nHost: h\r\n\r\nGET /d HTTP/1.1\r\nHost: h\r\n\r\n");
   std::string Both = S.readUntil("/d");
   REQUIRE(Both.find("/c") < Both.find("/d"));
 }
 
-TEST_CASE("server session, given what it cannot read, refuses with the right "
-          "status and ends",
+TEST_CASE("server session, given a malformed request, refuses with the right "
+          "status and closes",
           "[http]") {
   struct Row {
     std::string Name_, Sent_, Status_;
@@ -333,8 +332,8 @@
   }
 }
 
-TEST_CASE("server session, when its caller leaves during a request, tells at "
-          "once",
+TEST_CASE("server session, when its caller disconnects during a request, "
+          "notifies its handler at once",
           "[http]") {
   ListenerFixture F;
   RawSocket S = RawSocket::connectTo(F.Port_);
@@ -344,23 +343,25 @@
   S.close();
   auto Until =
       std::chrono::steady_clock::now() + std::chrono::milliseconds(500);
-  while (F.Handler_.Gone_ == 0 && std::chrono::steady_clock::now() < Until)
+  while (F.Handler_.Disconnects_ == 0 &&
+         std::chrono::steady_clock::now() < Until)
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
-  REQUIRE(F.Handler_.Gone_ == 1);
+  REQUIRE(F.Handler_.Disconnects_ == 1);
 }
 
-TEST_CASE("server session, when an answer is broken off, does not look whole",
-          "[http]") {
+TEST_CASE(
+    "server session, when an answer is aborted, does not make it look complete",
+    "[http]") {
   ListenerFixture F;
   RawSocket S = RawSocket::connectTo(F.Port_);
   S.send("GET /abort HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(S.readUntil("").find("0\r\n\r\n") == std::string::npos);
 }
 
-// A planned stop: a caller that does not know of it sends one more request on
-// its kept connection. It gets an answer, and with it word of the end.
-TEST_CASE("server session, when the process is leaving, answers a next request "
-          "and ends the connection with it",
+// Planned shutdown: a caller that does not know of it sends one more request on
+// its persistent connection. The answer says that the connection closes.
+TEST_CASE("server session, when the process is draining, answers a next "
+          "request and closes the connection after it",
           "[http]") {
   ListenerFixture F;
   RawSocket S = RawSocket::connectTo(F.Port_);
@@ -368,7 +369,7 @@
   REQUIRE(S.readUntil("/a\r\n").find("close") == std::string::npos);
   std::promise<void> Done;
   F.Io_.submit([&] {
-    F.Listener_->leaveAll();
+    F.Listener_->drainAll();
     Done.set_value();
   });
   Done.get_future().wait();
--- a/tests/unit/PlatformWireTest.cpp
+++ b/tests/unit/PlatformWireTest.cpp
@@ -1,4 +1,4 @@
-// What the platform's folder makes of the platform's messages.
+// Decoding and encoding of the platform's messages.
 
 #include "platform/EngineWire.h"
 #include "platform/Names.h"
@@ -49,8 +49,9 @@
 }
 } // namespace
 
-TEST_CASE("platform configuration, decoded, has every field in our units",
-          "[platform]") {
+TEST_CASE(
+    "platform configuration, decoded, has every field in the project's units",
+    "[platform]") {
   auto C = RoutingConfig::build(platform::decodeConfig(ConfigText));
   REQUIRE(C->version() == 7);
   const Route *R1 = C->match("h.example", "/a/1");
@@ -79,8 +80,7 @@
   REQUIRE(C->limits().HeaderBytes_ == 1000);
 }
 
-TEST_CASE("platform configuration, when it makes no sense, is an error",
-          "[platform]") {
+TEST_CASE("platform configuration, when malformed, is an error", "[platform]") {
   for (const char *Text : {"", "[]", "{", "{\"routes\":[]}"})
     REQUIRE_THROWS_AS(platform::decodeConfig(Text), Error);
 }
@@ -152,10 +152,10 @@
 TEST_CASE("platform version row, decoded, names model and version",
           "[platform]") {
   auto V =
-      platform::decodeVersion("version/m1", R"({"model":"m1","version":4})");
+      platform::decodeVersionRow("version/m1", R"({"model":"m1","version":4})");
   REQUIRE(V->Model_ == "m1");
   REQUIRE(V->Version_ == 4);
-  REQUIRE_FALSE(platform::decodeVersion("config", "{}"));
+  REQUIRE_FALSE(platform::decodeVersionRow("config", "{}"));
 }
 
 TEST_CASE("platform request, passed on, hides the key and sets what the system "
@@ -203,8 +203,9 @@
   REQUIRE(Text.find("Host: h.example\r\n") != std::string::npos);
 }
 
-TEST_CASE("platform answer, decoded, says not run only by the endpoint's word",
-          "[platform]") {
+TEST_CASE(
+    "platform answer, decoded, counts as not run only if the endpoint says so",
+    "[platform]") {
   struct Row {
     std::string Name_;
     unsigned Status_;
@@ -275,7 +276,7 @@
   platform::StoreWire W;
   REQUIRE(W.list("a/b c", "k&1", "").Target_ ==
           "/-/rows-get?table=a%2Fb%20c&part=&from=k%261");
-  platform::KeyRange Versions = platform::versionKeys();
+  platform::KeyRange Versions = platform::versionKeyRange();
   REQUIRE(W.list("op", Versions.From_, Versions.To_).Target_ ==
           "/-/rows-get?table=op&part=&from=version%2F&to=version0");
   REQUIRE(W.feed("op", 12, Milliseconds(2500)).Target_ ==
@@ -291,7 +292,7 @@
   REQUIRE(Body["remove"].as_array().size() == 1);
 }
 
-TEST_CASE("platform manifest, when spoilt in a way that shows, is not taken",
+TEST_CASE("platform manifest, when detectably corrupt, is rejected",
           "[platform]") {
   std::string Digest(64, 'a');
   std::string Good = R"({"model":"m","version":2,"chunk_bytes":10,"layers":1,
--- a/tests/unit/RawSocket.h
+++ b/tests/unit/RawSocket.h
@@ -1,6 +1,6 @@
-// A TCP socket for tests that behave as badly as endpoints and callers may:
-// bytes sent as told, late, too many, or ended by a reset. Loopback only; a
-// read waits five seconds at most.
+// A TCP socket for tests that misbehave as endpoints and callers may: bytes
+// sent late, too many, or ended by a reset. Loopback only; a read waits at most
+// five seconds.
 
 #ifndef HAWTHORNROAD_TESTS_UNIT_RAWSOCKET_H
 #define HAWTHORNROAD_TESTS_UNIT_RAWSOCKET_H
@@ -15,7 +15,7 @@
 
 namespace hawthornroad {
 
-// Closed at its end.
+// Closes its socket when destroyed.
 class RawSocket {
 public:
   explicit RawSocket(int Handle = -1) : Handle_(Handle) {}
@@ -54,7 +54,7 @@
     ::setsockopt(S.Handle_, SOL_SOCKET, SO_RCVTIMEO, &Limit, sizeof(Limit));
     return S;
   }
-  // For a peer that may have gone.
+  // For a peer that may have disconnected.
   bool trySend(const std::string &Text) const {
     return ::send(Handle_, Text.data(), Text.size(), MSG_NOSIGNAL) ==
            static_cast<ssize_t>(Text.size());
@@ -63,7 +63,7 @@
     REQUIRE(::send(Handle_, Text.data(), Text.size(), MSG_NOSIGNAL) ==
             static_cast<ssize_t>(Text.size()));
   }
-  // Reads until Text has come or the other side ends; what came.
+  // Reads until Text has arrived or the peer closes; returns what was read.
   std::string readUntil(const std::string &Text) const {
     std::string Got;
     char Buffer[4096];
@@ -75,7 +75,7 @@
     }
     return Got;
   }
-  // Ends with a reset.
+  // Closes with a reset.
   void reset() {
     linger L{1, 0};
     ::setsockopt(Handle_, SOL_SOCKET, SO_LINGER, &L, sizeof(L));
