--- a/cmake/RuntimePch.h
+++ b/cmake/RuntimePch.h
@@ -1,4 +1,4 @@
-// Precompiled for the runtime only: the headers that cost seconds each.
+// Precompiled for the runtime only: headers that take seconds each to compile.
 #include <boost/asio.hpp>
 #include <boost/beast/core.hpp>
 #include <boost/beast/http.hpp>
--- a/daemons/hawthornroad-agent.cpp
+++ b/daemons/hawthornroad-agent.cpp
@@ -1,5 +1,5 @@
-// The agent of one VM: runs requests at its engine or service, transfers its
-// weights, gives its orders.
+// The agent of one VM: runs requests on its engine or service, transfers its
+// weights, and sends version orders to its engine.
 
 #include "hawthornroad/runtime/AgentProcess.h"
 #include "hawthornroad/runtime/Daemon.h"
@@ -17,35 +17,36 @@
 constexpr int ExitLockTaken = 3;
 constexpr auto LockRetry = std::chrono::milliseconds(200);
 
-// The stop signal as something that can be waited for with a time limit.
-class StopWatch {
+// Waits for the stop signal with a time limit.
+class StopWaiter {
 public:
-  explicit StopWatch(StopSignal &Stop)
+  explicit StopWaiter(StopSignal &Stop)
       : Stop_(Stop),
-        Asked_(std::async(std::launch::async, [&Stop] { Stop.wait(); })) {}
+        Requested_(std::async(std::launch::async, [&Stop] { Stop.wait(); })) {}
   // Releases the waiting thread when the process ends without a signal.
-  ~StopWatch() { Stop_.request(); }
+  ~StopWaiter() { Stop_.request(); }
 
-  template <class DurationT> bool askedWithin(DurationT Limit) {
-    return Asked_.wait_for(Limit) == std::future_status::ready;
+  template <class DurationT> bool requestedWithin(DurationT Limit) {
+    return Requested_.wait_for(Limit) == std::future_status::ready;
   }
-  void wait() { Asked_.wait(); }
+  void wait() { Requested_.wait(); }
 
 private:
   StopSignal &Stop_;
-  std::future<void> Asked_;
+  std::future<void> Requested_;
 };
 
-// Waits for a predecessor to go; throws VmLockTaken when asked to stop first.
-void acquire(VmLock &Lock, StopWatch &Stop) {
-  bool Told = false;
+// Waits until the previous agent releases the lock; throws VmLockTaken when the
+// stop signal arrives first.
+void acquire(VmLock &Lock, StopWaiter &Stop) {
+  bool IsLogged = false;
   while (!Lock.tryAcquire()) {
-    if (!Told)
+    if (!IsLogged)
       log(LogLevel::Warning, Step::Listen,
           "another agent acts for this VM; waiting for its lock",
           {{"peer", Lock.address()}});
-    Told = true;
-    if (Stop.askedWithin(LockRetry))
+    IsLogged = true;
+    if (Stop.requestedWithin(LockRetry))
       throw VmLockTaken(Step::Listen, Lock.address(),
                         "another agent acts for this VM");
   }
@@ -56,7 +57,7 @@
   logInit({Settings.Common_.Process_.str(),
            parseLogLevel(Settings.Common_.LogLevel_)});
   VmLock Lock(Settings.LockListen_);
-  StopWatch Stop(Signal);
+  StopWaiter Stop(Signal);
   acquire(Lock, Stop);
   AgentProcess Agent(Settings);
   printReady(Agent.readyLine());
@@ -65,7 +66,7 @@
     Agent.stop();
   });
   Agent.waitUntilLeft();
-  // After POST /drain no signal came; the stopper is released by hand.
+  // After POST /drain no signal has arrived; release the stopper thread.
   Signal.request();
   Stopper.join();
 }
--- a/daemons/hawthornroad-entry.cpp
+++ b/daemons/hawthornroad-entry.cpp
@@ -14,7 +14,7 @@
   Stop.wait();
   log(LogLevel::Info, Step::Listen, "planned stop begins");
   Entry.drain();
-  log(LogLevel::Info, Step::Listen, "planned stop is through");
+  log(LogLevel::Info, Step::Listen, "planned stop is complete");
 }
 } // namespace
 
--- a/daemons/hawthornroad-store-agent.cpp
+++ b/daemons/hawthornroad-store-agent.cpp
@@ -1,4 +1,4 @@
-// The agent beside an engine, on a platform whose store names the versions.
+// The agent of one engine, on a platform whose store names the weight versions.
 
 #include "hawthornroad/agent/StoreAgent.h"
 #include "hawthornroad/runtime/Daemon.h"
--- a/hawthornroad/ctl/Ctl.cpp
+++ b/hawthornroad/ctl/Ctl.cpp
@@ -80,9 +80,9 @@
   return Out;
 }
 
-// Tells an error in both forms.
-int tell(CtlExit Code, const std::string &Message, json::object Details,
-         CtlPrinter &P, std::ostream &Err) {
+// Prints an error as text and, with --json, as JSON.
+int reportError(CtlExit Code, const std::string &Message, json::object Details,
+                CtlPrinter &P, std::ostream &Err) {
   Details["outcome"] = "error";
   Details["exit"] = static_cast<int>(Code);
   Details["message"] = Message;
@@ -95,13 +95,14 @@
   try {
     return static_cast<int>(runCommand(O, P));
   } catch (const TextError &E) {
-    return tell(CtlExit::Invalid, E.what(),
-                {{"file", E.peer()}, {"faults", faultsOf(E)}}, P, Err);
+    return reportError(CtlExit::Invalid, E.what(),
+                       {{"file", E.peer()}, {"faults", faultsOf(E)}}, P, Err);
   } catch (const Error &E) {
-    return tell(exitOf(E), E.what(),
-                {{"step", toString(E.step())}, {"peer", E.peer()}}, P, Err);
+    return reportError(exitOf(E), E.what(),
+                       {{"step", toString(E.step())}, {"peer", E.peer()}}, P,
+                       Err);
   } catch (const UsageError &E) {
-    return tell(CtlExit::Invalid, E.what(), {}, P, Err);
+    return reportError(CtlExit::Invalid, E.what(), {}, P, Err);
   }
 }
 } // namespace
--- a/hawthornroad/ctl/Ctl.h
+++ b/hawthornroad/ctl/Ctl.h
@@ -1,13 +1,14 @@
-// hawthornroadctl: the operators' tool. Reads and changes what is declared in
-// the platform's table, and asks processes what is in force.
+// hawthornroadctl: the operators' command-line tool. Reads and changes the
+// configuration in the platform's table, and queries processes for the
+// revision that they have applied.
 //
 //   int main(int Argc, char **Argv) {
 //     return runCtl({Argv + 1, Argv + Argc}, std::cout, std::cerr);
 //   }
 //
 // Results go to Out, as text or, with --json, as one JSON object; errors go to
-// Err as text (with --json to Out too, so that a pipeline reads one object in
-// every case). Nothing is written before the text is known to be valid.
+// Err as text (with --json to Out too, so that a pipeline always reads one
+// object). A configuration is validated before anything is written.
 
 #ifndef HAWTHORNROAD_CTL_CTL_H
 #define HAWTHORNROAD_CTL_CTL_H
@@ -21,10 +22,10 @@
 enum class CtlExit {
   Done = 0,
   Failed = 1,      // refused or failed; nothing was changed
-  Invalid = 2,     // wrong command line, or a text or file that is not valid
+  Invalid = 2,     // invalid command line, configuration or file
   Conflict = 3,    // other changes were accepted first
-  Unavailable = 4, // platform or process cannot be reached
-  Behind = 5,      // accepted, but processes are behind when --wait ends
+  Unavailable = 4, // platform or process is unreachable
+  Behind = 5,      // accepted, but not applied everywhere when --wait ends
   Unknown = 6      // a write may have taken effect
 };
 
--- a/hawthornroad/ctl/CtlChange.cpp
+++ b/hawthornroad/ctl/CtlChange.cpp
@@ -29,15 +29,15 @@
       .count();
 }
 
-// The validated text of a file; throws TextError with all faults.
+// Reads and validates a configuration file; throws TextError with all faults.
 json::value readDeclared(const std::string &File) {
   std::string Text = readTextFile(File, Step::Declaration);
   parseDeclaration(Text, File);
   return toJson(parseJsonText(Text, File, Step::Declaration));
 }
 
-// The charts stand beside the sources in a build, and under share/ when
-// installed; a folder of that name in the current directory comes first.
+// The charts are in the source tree for a build, and under share/ when
+// installed; a folder of that name in the current directory takes precedence.
 std::string chartsFolder(const CtlOptions &O) {
   namespace fs = std::filesystem;
   if (!O.Charts_.empty())
@@ -71,9 +71,9 @@
 }
 
 std::string titleOf(const RevisionRecord &R) {
-  std::string Why = R.Reason_.empty() ? "" : ": " + R.Reason_;
+  std::string Reason = R.Reason_.empty() ? "" : ": " + R.Reason_;
   return "revision " + std::to_string(R.Revision_) + " by " + R.Author_ +
-         " (change " + R.Change_ + ")" + Why;
+         " (change " + R.Change_ + ")" + Reason;
 }
 
 void printConflict(const ApplyOutcome &O, CtlPrinter &P) {
@@ -86,7 +86,7 @@
   P.line("look at both, then apply again from the latest revision");
 }
 
-std::string wordFor(ApplyOutcome::Kind K) {
+std::string outcomeName(ApplyOutcome::Kind K) {
   switch (K) {
   case ApplyOutcome::Kind::Accepted:
     return "accepted";
@@ -125,7 +125,7 @@
   json::array Theirs;
   for (const RevisionRecord &Each : O.Theirs_)
     Theirs.push_back(recordJson(Each));
-  return {{"outcome", wordFor(O.Kind_)},
+  return {{"outcome", outcomeName(O.Kind_)},
           {"revision", O.Revision_},
           {"base", O.Base_},
           {"change", O.Ours_.Change_},
@@ -136,9 +136,10 @@
           {"theirs", std::move(Theirs)}};
 }
 
-// Runs the protocol against the table. A snapshot that is due is written last;
-// its failure changes nothing.
-ApplyOutcome accept(ApplyRequest R, const CtlOptions &O, TableClient &Table) {
+// Runs the change protocol against the table. A snapshot that is due is written
+// last; its failure does not affect the result.
+ApplyOutcome applyChange(ApplyRequest R, const CtlOptions &O,
+                         TableClient &Table) {
   Chart C = Chart::load(chartsFolder(O), "apply", ApplyProtocol::chartNames());
   Random Rng(systemSeed());
   ApplyProtocol Protocol(C, std::move(R), Rng);
@@ -146,9 +147,9 @@
   while (Next)
     Next = Protocol.onAnswer(Table.perform(*Next));
   ApplyOutcome Outcome = Protocol.outcome();
-  bool IsCut = Outcome.Kind_ == ApplyOutcome::Kind::Unavailable ||
-               Outcome.Kind_ == ApplyOutcome::Kind::Unknown;
-  if (IsCut)
+  bool IsTableFailure = Outcome.Kind_ == ApplyOutcome::Kind::Unavailable ||
+                        Outcome.Kind_ == ApplyOutcome::Kind::Unknown;
+  if (IsTableFailure)
     Outcome.Message_ +=
         " (table " + Table.address() + ": " + Table.lastFailure() + ")";
   if (std::optional<TableCall> Snapshot = Protocol.snapshotCall())
@@ -156,22 +157,22 @@
   return Outcome;
 }
 
-// Asks the processes until none is behind N or the wait ends; returns the last
-// answer.
+// Polls the processes until none is behind N or the wait ends; returns the last
+// status.
 FleetStatus waitFor(Revision N, const CtlOptions &O) {
   auto End = std::chrono::steady_clock::now() + *O.Wait_;
   while (true) {
     FleetStatus S = readFleetStatus(O.Admins_, O.Timeout_);
-    bool IsOver = std::chrono::steady_clock::now() >= End;
-    if (IsOver || behind(S, N).empty())
+    bool IsTimeUp = std::chrono::steady_clock::now() >= End;
+    if (IsTimeUp || behind(S, N).empty())
       return S;
     std::this_thread::sleep_for(WaitPoll);
   }
 }
 
-// Waits for revision N and tells who has not applied it.
-CtlExit waitAndTell(Revision N, const CtlOptions &O, CtlPrinter &P,
-                    json::object &Result) {
+// Waits for revision N and reports the processes that have not applied it.
+CtlExit waitAndReport(Revision N, const CtlOptions &O, CtlPrinter &P,
+                      json::object &Result) {
   FleetStatus S = waitFor(N, O);
   std::vector<std::string> Late = behind(S, N);
   std::vector<std::string> Dead = unreachable(S, N);
@@ -188,22 +189,22 @@
   return CtlExit::Done;
 }
 
-// Waits when asked to, and prints the whole result.
-CtlExit conclude(const ApplyOutcome &Outcome, const CtlOptions &O,
-                 CtlPrinter &P) {
+// Waits if --wait is given, and prints the complete result.
+CtlExit finishChange(const ApplyOutcome &Outcome, const CtlOptions &O,
+                     CtlPrinter &P) {
   json::object Result = outcomeJson(Outcome);
   CtlExit Code = exitFor(Outcome.Kind_);
-  P.line(wordFor(Outcome.Kind_) + ": " + Outcome.Message_);
+  P.line(outcomeName(Outcome.Kind_) + ": " + Outcome.Message_);
   if (Outcome.Kind_ == ApplyOutcome::Kind::Conflict)
     printConflict(Outcome, P);
   if (Code == CtlExit::Done && O.Wait_)
-    Code = waitAndTell(Outcome.Revision_, O, P, Result);
+    Code = waitAndReport(Outcome.Revision_, O, P, Result);
   Result["exit"] = static_cast<int>(Code);
   P.result(Result);
   return Code;
 }
 
-// 128 random bits in hex, so that no two changes share an id by chance.
+// 128 random bits in hex, so that ids of changes do not collide.
 std::string newChangeId() {
   Random Rng(systemSeed());
   std::ostringstream Out;
@@ -262,11 +263,12 @@
 CtlExit ctlApply(const CtlOptions &O, CtlPrinter &P) {
   json::value Text = readDeclared(O.Operands_.front());
   TableClient Table(O.Table_, O.Timeout_);
-  return conclude(accept(requestOf(O, std::move(Text)), O, Table), O, P);
+  return finishChange(applyChange(requestOf(O, std::move(Text)), O, Table), O,
+                      P);
 }
 
-// A rollback never takes a revision back: it is a new change whose text is an
-// old one, so processes keep moving to higher revisions only.
+// A rollback does not remove a revision: it is a new change that restores the
+// text of an old one, so that processes only ever move to higher revisions.
 CtlExit ctlRollback(const CtlOptions &O, CtlPrinter &P) {
   Revision Target = parseRevision(O.Operands_.front());
   TableClient Table(O.Table_, O.Timeout_);
@@ -274,12 +276,12 @@
   std::string Name = "revision " + std::to_string(Target);
   if (Old.revision() != Target)
     throw Error(Step::Apply, O.Table_, "there is no " + Name);
-  // Rules may have grown stricter since that revision.
+  // Validation may have become stricter since that revision.
   parseDeclaration(json::serialize(Old.text()), Name);
   ApplyRequest R = requestOf(O, Old.text());
   if (R.Reason_.empty())
     R.Reason_ = "rollback to " + Name;
-  return conclude(accept(std::move(R), O, Table), O, P);
+  return finishChange(applyChange(std::move(R), O, Table), O, P);
 }
 
 CtlExit ctlHistory(const CtlOptions &O, CtlPrinter &P) {
--- a/hawthornroad/ctl/CtlCommands.h
+++ b/hawthornroad/ctl/CtlCommands.h
@@ -1,5 +1,5 @@
 // The commands of hawthornroadctl. Each prints through a CtlPrinter and
-// returns the exit code; errors are thrown and told by runCtl().
+// returns the exit code; errors are thrown, and reported by runCtl().
 
 #ifndef HAWTHORNROAD_CTL_CTLCOMMANDS_H
 #define HAWTHORNROAD_CTL_CTLCOMMANDS_H
@@ -14,14 +14,14 @@
 
 namespace hawthornroad {
 
-// Gathers a command's result in both forms and prints the one asked for.
+// Takes a command's result as text and as JSON, and prints the requested form.
 class CtlPrinter {
 public:
   CtlPrinter(std::ostream &Out, bool AsJson) : Out_(Out), AsJson_(AsJson) {}
 
-  // One line for a reader; nothing with --json.
+  // Prints one line of text; nothing with --json.
   void line(const std::string &Text);
-  // The whole result for a program; nothing without --json.
+  // Prints the complete result as JSON; nothing without --json.
   void result(const boost::json::object &Result);
 
 private:
@@ -41,8 +41,8 @@
 CtlExit ctlExplain(const CtlOptions &O, CtlPrinter &P);
 CtlExit ctlDrain(const CtlOptions &O, CtlPrinter &P);
 CtlExit ctlManifest(const CtlOptions &O, CtlPrinter &P);
-// Of the logs of store-based processes: one request's story, and refusals by
-// cause.
+// On the logs of store-based processes: ctlTrace prints the events of one
+// request, ctlLogs counts failed requests by cause.
 CtlExit ctlTrace(const CtlOptions &O, CtlPrinter &P);
 CtlExit ctlLogs(const CtlOptions &O, CtlPrinter &P);
 
--- a/hawthornroad/ctl/CtlFleet.cpp
+++ b/hawthornroad/ctl/CtlFleet.cpp
@@ -57,7 +57,7 @@
          endpointLine(M.Endpoint_));
 }
 
-// Admin addresses without an answer, as failures to tell.
+// Admin addresses that did not answer, with the reasons.
 json::object printSilent(const FleetStatus &S, CtlPrinter &P) {
   json::object Out;
   for (const ProcessReport &Each : S.Reports_) {
@@ -86,7 +86,8 @@
   return Now.text();
 }
 
-// What is declared of Name: a service by its name, or the one that covers it.
+// The configuration for Name: the service of that name, or the service whose
+// pattern matches it.
 json::object explainDeclared(const CtlOptions &O, const std::string &Name,
                              CtlPrinter &P) {
   Revision At = 0;
@@ -118,20 +119,20 @@
          textOf(M.Endpoint_, "service") == Name;
 }
 
-// The admin address of the agent on the wanted VM; with no VM named, the only
-// address given.
+// The admin address of the agent on the requested VM; when no VM is named, the
+// only address given.
 std::string drainTarget(const CtlOptions &O) {
   if (O.Operands_.empty()) {
     if (O.Admins_.size() != 1)
       throw UsageError("drain without a VM needs exactly one --admin");
     return O.Admins_.front();
   }
-  const std::string &Wanted = O.Operands_.front();
+  const std::string &RequestedVm = O.Operands_.front();
   FleetStatus S = readFleetStatus(O.Admins_, O.Timeout_);
   for (const ProcessReport &Each : S.Reports_)
-    if (Each.Vm_ == Wanted)
+    if (Each.Vm_ == RequestedVm)
       return Each.Admin_;
-  throw Error(Step::Connect, Wanted,
+  throw Error(Step::Connect, RequestedVm,
               "none of the --admin addresses is its agent's");
 }
 } // namespace
@@ -148,17 +149,17 @@
   json::array Late = printNames("behind", behind(S, Highest), P);
   json::array Dead = printNames("unreachable", unreachable(S, Highest), P);
   json::object Silent = printSilent(S, P);
-  bool IsSilent = Silent.size() == S.Reports_.size();
+  bool AllSilent = Silent.size() == S.Reports_.size();
   P.result({{"revision", Highest},
             {"members", std::move(Members)},
             {"behind", std::move(Late)},
             {"unreachable", std::move(Dead)},
             {"silent", std::move(Silent)}});
-  return IsSilent ? CtlExit::Unavailable : CtlExit::Done;
+  return AllSilent ? CtlExit::Unavailable : CtlExit::Done;
 }
 
-// Each half is told even when the other cannot be had: this is the command of
-// somebody who wants to know what is wrong.
+// Each half is printed even when the other is unavailable, because this command
+// serves to diagnose faults.
 CtlExit ctlExplain(const CtlOptions &O, CtlPrinter &P) {
   if (O.Table_.empty() && O.Admins_.empty())
     throw UsageError("explain needs --table, --admin or both");
@@ -193,8 +194,8 @@
   std::string Admin = drainTarget(O);
   HttpResponse R =
       httpFetch(Admin, {.Method_ = "POST", .Target_ = "/drain"}, O.Timeout_);
-  constexpr unsigned FirstError = 300;
-  if (R.Status_ >= FirstError)
+  constexpr unsigned MinRefusedStatus = 300;
+  if (R.Status_ >= MinRefusedStatus)
     throw Error(Step::Apply, Admin,
                 "refused with status " + std::to_string(R.Status_) + ": " +
                     R.Body_);
--- a/hawthornroad/ctl/CtlLogs.cpp
+++ b/hawthornroad/ctl/CtlLogs.cpp
@@ -10,34 +10,36 @@
 namespace json = boost::json;
 
 namespace {
-LogStory readFiles(const std::vector<std::string> &Files) {
-  LogStory Story;
+LogTimeline readFiles(const std::vector<std::string> &Files) {
+  LogTimeline Timeline;
   for (const std::string &File : Files) {
     std::ifstream In(File);
     if (!In)
       throw Error(Step::Settings, File, "cannot be opened");
-    Story.read(In);
+    Timeline.read(In);
   }
-  return Story;
+  return Timeline;
 }
 
-void noteQuality(const LogStory &Story, CtlPrinter &P, json::object &Result) {
-  Result["lines"] = Story.lines();
-  Result["bad_lines"] = Story.badLines();
-  Result["dropped_lines"] = Story.droppedLines();
-  if (Story.badLines() > 0)
-    P.line(std::to_string(Story.badLines()) +
+void reportLineCounts(const LogTimeline &Timeline, CtlPrinter &P,
+                      json::object &Result) {
+  Result["lines"] = Timeline.lines();
+  Result["bad_lines"] = Timeline.badLines();
+  Result["dropped_lines"] = Timeline.droppedLines();
+  if (Timeline.badLines() > 0)
+    P.line(std::to_string(Timeline.badLines()) +
            " lines are not of this system's logs and were passed over");
-  if (Story.droppedLines() > 0)
-    P.line(std::to_string(Story.droppedLines()) +
+  if (Timeline.droppedLines() > 0)
+    P.line(std::to_string(Timeline.droppedLines()) +
            " lines were dropped by the processes that wrote them");
 }
 } // namespace
 
 CtlExit ctlTrace(const CtlOptions &O, CtlPrinter &P) {
   const std::string &Id = O.Operands_.front();
-  LogStory Story = readFiles({O.Operands_.begin() + 1, O.Operands_.end()});
-  std::vector<LogEvent> Events = Story.ofRequest(Id);
+  LogTimeline Timeline =
+      readFiles({O.Operands_.begin() + 1, O.Operands_.end()});
+  std::vector<LogEvent> Events = Timeline.eventsOfRequest(Id);
   json::object Result;
   json::array Out;
   for (const LogEvent &E : Events) {
@@ -46,7 +48,7 @@
   }
   Result["request"] = Id;
   Result["events"] = std::move(Out);
-  noteQuality(Story, P, Result);
+  reportLineCounts(Timeline, P, Result);
   if (Events.empty())
     P.line("no line names request " + Id);
   P.result(Result);
@@ -54,18 +56,18 @@
 }
 
 CtlExit ctlLogs(const CtlOptions &O, CtlPrinter &P) {
-  LogStory Story = readFiles(O.Operands_);
+  LogTimeline Timeline = readFiles(O.Operands_);
   json::object Result;
   json::object Causes;
-  P.line(std::to_string(Story.requests()) + " requests");
-  for (const auto &[Cause, C] : Story.refusals()) {
+  P.line(std::to_string(Timeline.requests()) + " requests");
+  for (const auto &[Cause, C] : Timeline.refusals()) {
     P.line("  " + std::to_string(C.Count_) + "  " + Cause +
            "  (one: " + C.Example_ + ")");
     Causes[Cause] = json::object{{"count", C.Count_}, {"one", C.Example_}};
   }
-  Result["requests"] = Story.requests();
+  Result["requests"] = Timeline.requests();
   Result["causes"] = std::move(Causes);
-  noteQuality(Story, P, Result);
+  reportLineCounts(Timeline, P, Result);
   P.result(Result);
   return CtlExit::Done;
 }
--- a/hawthornroad/ctl/CtlManifest.cpp
+++ b/hawthornroad/ctl/CtlManifest.cpp
@@ -13,23 +13,23 @@
 
 namespace {
 constexpr std::int64_t ManifestFormat = 1;
-// Above this a manifest would no longer fit an agent's memory budget.
+// A manifest of more chunks exceeds an agent's memory budget.
 constexpr std::size_t MaxChunks = 1000000;
 
-// Reads the file a chunk at a time, so memory stays at one chunk however large
-// the weights are.
+// Reads the file one chunk at a time, so that memory use is one chunk whatever
+// the size of the weights.
 json::object describeBlob(const CtlOptions &O) {
   std::ifstream In(O.Blob_, std::ios::binary);
   if (!In)
     throw Error(Step::Manifest, O.Blob_, "cannot be opened");
-  Sha256 Whole;
+  Sha256 BlobDigest;
   json::array Chunks;
   std::int64_t Size = 0;
   std::string Buffer(static_cast<std::size_t>(O.ChunkSize_), '\0');
   while (In.read(Buffer.data(), O.ChunkSize_), In.gcount() > 0) {
     std::string_view Chunk(Buffer.data(),
                            static_cast<std::size_t>(In.gcount()));
-    Whole.update(Chunk);
+    BlobDigest.update(Chunk);
     Chunks.emplace_back(sha256(Chunk));
     Size += In.gcount();
     if (Chunks.size() > MaxChunks)
@@ -45,7 +45,7 @@
           {"model", O.Model_},
           {"size", Size},
           {"chunk_size", O.ChunkSize_},
-          {"digest", Whole.finish()},
+          {"digest", BlobDigest.finish()},
           {"chunks", std::move(Chunks)},
           {"blob", O.Path_}};
 }
--- a/hawthornroad/ctl/CtlOptions.cpp
+++ b/hawthornroad/ctl/CtlOptions.cpp
@@ -21,11 +21,11 @@
   std::string Name_;
   std::string Operand_;
   std::string Help_;
-  // Options beside the general ones.
+  // Options in addition to the general ones.
   std::vector<std::string> Options_;
   std::vector<std::string> Required_;
   bool OperandIsOptional_ = false;
-  // More operands than the one, files as a rule.
+  // Whether more operands, usually files, may follow.
   bool TakesMore_ = false;
 };
 
@@ -152,14 +152,14 @@
       .add(changeOptions())
       .add(otherOptions())
       .add(hiddenOptions());
-  po::positional_options_description Words;
-  Words.add("words", -1);
+  po::positional_options_description Positional;
+  Positional.add("words", -1);
   int Style = po::command_line_style::unix_style &
               ~po::command_line_style::allow_guessing;
   po::variables_map Raw;
   po::store(po::command_line_parser(Arguments)
                 .options(All)
-                .positional(Words)
+                .positional(Positional)
                 .style(Style)
                 .run(),
             Raw);
@@ -216,18 +216,18 @@
 }
 
 void checkOperands(const CtlOptions &O, const CommandForm &Form) {
-  std::size_t Wanted = Form.Operand_.empty() ? 0 : 1;
+  std::size_t Expected = Form.Operand_.empty() ? 0 : 1;
   if (Form.Name_ == "trace")
-    Wanted = 2;
-  if (O.Operands_.size() > Wanted && !Form.TakesMore_)
+    Expected = 2;
+  if (O.Operands_.size() > Expected && !Form.TakesMore_)
     throw UsageError(O.Command_ + ": too many operands: \"" +
                      O.Operands_.back() + "\"");
-  if (O.Operands_.size() < Wanted && !Form.OperandIsOptional_)
+  if (O.Operands_.size() < Expected && !Form.OperandIsOptional_)
     throw UsageError(O.Command_ + " needs " + Form.Operand_);
 }
 
-// A change id alone does not find its earlier record: without the base, the
-// record could be anywhere in the history.
+// A change id alone does not locate its earlier record: without the base
+// revision, the record could be anywhere in the history.
 void checkChange(const CtlOptions &O) {
   if (!O.Change_.empty() && !isName(O.Change_))
     throw UsageError("--change: expected letters, digits and \"._-\"");
@@ -244,7 +244,7 @@
   return User != nullptr && *User != '\0' ? User : "unknown";
 }
 
-CtlOptions typed(const po::variables_map &Raw) {
+CtlOptions toCtlOptions(const po::variables_map &Raw) {
   CtlOptions O;
   O.Help_ = Raw.count("help") != 0;
   O.Version_ = Raw.count("version") != 0;
@@ -276,7 +276,7 @@
 CtlOptions parseCtlOptions(const std::vector<std::string> &Arguments) {
   try {
     po::variables_map Raw = parseRaw(Arguments);
-    CtlOptions O = typed(Raw);
+    CtlOptions O = toCtlOptions(Raw);
     if (O.Help_ || O.Version_)
       return O;
     if (O.Operands_.empty())
--- a/hawthornroad/ctl/CtlOptions.h
+++ b/hawthornroad/ctl/CtlOptions.h
@@ -1,5 +1,5 @@
-// The command line of hawthornroadctl, checked before anything is done: which
-// command, its operands, and that every option given belongs to it.
+// The command line of hawthornroadctl, parsed and checked before a command
+// runs: the command, its operands, and that each option belongs to it.
 //
 //   CtlOptions O = parseCtlOptions({"apply", "fleet.jsonc", "--table",
 //                                   "10.0.0.1:7000"});   // throws UsageError
@@ -23,24 +23,24 @@
   // The platform, "IP:port".
   std::string Table_;
   std::string Objects_;
-  // Admin listeners of processes of the system, "IP:port".
+  // Admin listeners of processes, "IP:port".
   std::vector<std::string> Admins_;
-  // Folder of the state charts; found beside the program when not given.
+  // Folder of the state charts; the default is searched for when empty.
   std::string Charts_;
   bool Json_ = false;
   bool Help_ = false;
   bool Version_ = false;
-  // Longest wait for one answer of the platform or a process.
+  // Time limit for one answer of the platform or a process.
   Duration Timeout_ = Seconds(2);
-  // Of a change.
+  // For commands that make a change.
   std::optional<Revision> Base_;
   std::string Change_;
   std::string Author_;
   std::string Reason_;
   std::optional<Duration> Wait_;
-  // Of history: the last so many revisions.
+  // For history: the number of latest revisions to print.
   std::size_t Limit_ = 20;
-  // Of manifest.
+  // For manifest.
   std::string Model_;
   std::string Blob_;
   std::string Path_;
@@ -48,14 +48,14 @@
   std::string Out_;
 };
 
-// A command line that asks for nothing the program can do.
+// An invalid command line.
 class UsageError : public std::runtime_error {
 public:
   using std::runtime_error::runtime_error;
 };
 
 CtlOptions parseCtlOptions(const std::vector<std::string> &Arguments);
-// The text of --help, exit codes included.
+// The text of --help, including the exit codes.
 std::string ctlHelp();
 
 } // namespace hawthornroad
--- a/hawthornroad/ctl/FleetStatus.cpp
+++ b/hawthornroad/ctl/FleetStatus.cpp
@@ -12,8 +12,8 @@
 namespace json = boost::json;
 
 namespace {
-// Members that are missing or of another kind read as empty: a process of
-// another version may report more or less.
+// Members that are missing or of another type are read as empty, because a
+// process of another release may report more or fewer of them.
 std::string textOf(const json::object &Object, const char *Key) {
   const json::value *Found = Object.if_contains(Key);
   return Found != nullptr && Found->is_string()
@@ -36,7 +36,7 @@
   return Found != nullptr && Found->is_array() ? Found->get_array() : None;
 }
 
-// The control plane's part: the whole, or a member of it.
+// The control plane's report: the member "control", or the whole document.
 const json::object &controlPart(const json::object &Raw) {
   const json::value *Inner = Raw.if_contains("control");
   return Inner != nullptr && Inner->is_object() ? Inner->get_object() : Raw;
@@ -57,7 +57,7 @@
   return M;
 }
 
-ProcessReport askProcess(const std::string &Admin, Duration Timeout) {
+ProcessReport fetchReport(const std::string &Admin, Duration Timeout) {
   try {
     HttpResponse R = httpFetch(Admin, {.Target_ = "/status"}, Timeout);
     constexpr unsigned Ok = 200;
@@ -103,7 +103,7 @@
                             Duration Timeout) {
   FleetStatus S;
   for (const std::string &Admin : Admins)
-    S.Reports_.push_back(askProcess(Admin, Timeout));
+    S.Reports_.push_back(fetchReport(Admin, Timeout));
   return S;
 }
 
@@ -113,12 +113,12 @@
     for (const MemberReport &Each : Report.Members_)
       if (Each.Process_ == Report.Process_)
         All.insert_or_assign(Each.Process_, Each);
-  std::set<std::string> OwnWord;
+  std::set<std::string> SelfReported;
   for (const auto &[Process, Member] : All)
-    OwnWord.insert(Process);
+    SelfReported.insert(Process);
   for (const ProcessReport &Report : Reports_)
     for (const MemberReport &Each : Report.Members_) {
-      if (OwnWord.contains(Each.Process_))
+      if (SelfReported.contains(Each.Process_))
         continue;
       auto [At, IsNew] = All.emplace(Each.Process_, Each);
       if (!IsNew && Each.Revision_ > At->second.Revision_)
--- a/hawthornroad/ctl/LogReader.cpp
+++ b/hawthornroad/ctl/LogReader.cpp
@@ -13,23 +13,23 @@
 
 namespace {
 constexpr double MillisPerSecond = 1000;
-constexpr unsigned FirstFailure = 400;
+constexpr unsigned MinErrorStatus = 400;
 
 double numberOf(const json::object &O, std::string_view Key) {
   const json::value *V = O.if_contains({Key.data(), Key.size()});
   return V != nullptr && V->is_number() ? V->to_number<double>() : 0;
 }
 
-// What a process believes of the world, beside its endpoints.
-bool isBelief(const std::string &Kind) {
+// Whether the event reports the state of the process, endpoints excluded.
+bool isProcessState(const std::string &Kind) {
   static const std::set<std::string> Kinds = {
       "config",     "ready",          "not_ready", "store_lost",
       "store_back", "version_wanted", "start",     "stopping"};
   return Kinds.contains(Kind);
 }
 
-// Lines about one endpoint or engine.
-bool isOfEndpoint(const std::string &Kind) {
+// Whether the event concerns one endpoint or engine.
+bool isEndpointEvent(const std::string &Kind) {
   return Kind == "endpoint" || Kind == "endpoint_changed" ||
          Kind == "endpoint_gone" || Kind == "engine_told";
 }
@@ -49,93 +49,95 @@
   return json::serialize(*V);
 }
 
-void LogStory::read(std::istream &In) {
+void LogTimeline::read(std::istream &In) {
   for (std::string Line; std::getline(In, Line);) {
-    // Collectors put their own marks before a line.
+    // Log collectors may prefix a line.
     std::size_t From = Line.find('{');
     boost::system::error_code Code;
     json::value Parsed;
     if (From != std::string::npos)
       Parsed = json::parse(Line.substr(From), Code);
-    bool IsOurs = !Code && Parsed.is_object() &&
-                  Parsed.get_object().contains("event") &&
-                  Parsed.get_object().contains("t") &&
-                  Parsed.get_object().contains("process");
-    if (!IsOurs) {
+    bool IsEvent = !Code && Parsed.is_object() &&
+                   Parsed.get_object().contains("event") &&
+                   Parsed.get_object().contains("t") &&
+                   Parsed.get_object().contains("process");
+    if (!IsEvent) {
       ++BadLines_;
       continue;
     }
     LogEvent E;
     E.Fields_ = std::move(Parsed.get_object());
     E.Process_ = E.text("process");
-    E.Own_ = numberOf(E.Fields_, "t");
+    E.MonotonicTime_ = numberOf(E.Fields_, "t");
     Start &S = Starts_[E.Process_];
     if (E.kind() == "start")
       S = {S.Run_ + 1,
-           numberOf(E.Fields_, "wall_ms") / MillisPerSecond - E.Own_};
+           numberOf(E.Fields_, "wall_ms") / MillisPerSecond - E.MonotonicTime_};
     E.Run_ = S.Run_;
     if (S.Run_ > 0)
-      E.Wall_ = E.Own_ + S.Offset_;
+      E.WallTime_ = E.MonotonicTime_ + S.Offset_;
     if (E.kind() == "log_dropped")
       Dropped_ += static_cast<std::uint64_t>(numberOf(E.Fields_, "lines"));
     Events_.push_back(std::move(E));
   }
 }
 
-void LogStory::addBeliefs(const LogEvent &First,
-                          const std::vector<LogEvent> &Own,
-                          std::vector<LogEvent> &Out) const {
+void LogTimeline::addPrecedingState(const LogEvent &First,
+                                    const std::vector<LogEvent> &RequestEvents,
+                                    std::vector<LogEvent> &Out) const {
   std::set<std::string> Endpoints;
-  for (const LogEvent &E : Own) {
+  for (const LogEvent &E : RequestEvents) {
     Endpoints.insert(E.text("endpoint"));
     Endpoints.insert(E.text("address"));
   }
   Endpoints.erase("");
-  // The last word of each kind, and of each endpoint.
+  // The last event of each kind, and of each kind and endpoint.
   std::map<std::string, const LogEvent *> Last;
   for (const LogEvent &E : Events_) {
     if (E.Process_ != First.Process_ || E.Run_ != First.Run_ ||
-        E.Own_ > First.Own_)
+        E.MonotonicTime_ > First.MonotonicTime_)
       continue;
     std::string Kind = E.kind();
-    if (isBelief(Kind))
+    if (isProcessState(Kind))
       Last[Kind + E.text("table")] = &E;
-    else if (isOfEndpoint(Kind) && (Endpoints.contains(E.text("endpoint")) ||
-                                    Endpoints.contains(E.text("address"))))
+    else if (isEndpointEvent(Kind) && (Endpoints.contains(E.text("endpoint")) ||
+                                       Endpoints.contains(E.text("address"))))
       Last[Kind + E.text("endpoint") + E.text("address")] = &E;
   }
   for (const auto &[Key, E] : Last)
     Out.push_back(*E);
 }
 
-std::vector<LogEvent> LogStory::ofRequest(const std::string &Id) const {
+std::vector<LogEvent>
+LogTimeline::eventsOfRequest(const std::string &Id) const {
   std::map<std::string, std::vector<LogEvent>> ByProcess;
   for (const LogEvent &E : Events_)
     if (E.text("request") == Id)
       ByProcess[E.Process_].push_back(E);
   std::vector<LogEvent> Out;
-  for (auto &[Process, Own] : ByProcess) {
-    std::stable_sort(
-        Own.begin(), Own.end(),
-        [](const LogEvent &A, const LogEvent &B) { return A.Own_ < B.Own_; });
-    addBeliefs(Own.front(), Own, Out);
-    Out.insert(Out.end(), Own.begin(), Own.end());
+  for (auto &[Process, RequestEvents] : ByProcess) {
+    std::stable_sort(RequestEvents.begin(), RequestEvents.end(),
+                     [](const LogEvent &A, const LogEvent &B) {
+                       return A.MonotonicTime_ < B.MonotonicTime_;
+                     });
+    addPrecedingState(RequestEvents.front(), RequestEvents, Out);
+    Out.insert(Out.end(), RequestEvents.begin(), RequestEvents.end());
   }
   std::stable_sort(Out.begin(), Out.end(),
                    [](const LogEvent &A, const LogEvent &B) {
                      if (A.Process_ == B.Process_ && A.Run_ == B.Run_)
-                       return A.Own_ < B.Own_;
-                     return A.Wall_ < B.Wall_;
+                       return A.MonotonicTime_ < B.MonotonicTime_;
+                     return A.WallTime_ < B.WallTime_;
                    });
   return Out;
 }
 
-std::map<std::string, LogStory::CauseCount> LogStory::refusals() const {
+std::map<std::string, LogTimeline::CauseCount> LogTimeline::refusals() const {
   std::map<std::string, CauseCount> Out;
   for (const LogEvent &E : Events_) {
     if (E.kind() != "request")
       continue;
-    bool IsFailure = numberOf(E.Fields_, "status") >= FirstFailure ||
+    bool IsFailure = numberOf(E.Fields_, "status") >= MinErrorStatus ||
                      E.text("cause") != "none";
     if (!IsFailure)
       continue;
@@ -147,7 +149,7 @@
   return Out;
 }
 
-std::size_t LogStory::requests() const {
+std::size_t LogTimeline::requests() const {
   return static_cast<std::size_t>(
       std::count_if(Events_.begin(), Events_.end(),
                     [](const LogEvent &E) { return E.kind() == "request"; }));
@@ -155,7 +157,8 @@
 
 std::string describe(const LogEvent &E) {
   std::array<char, 32> At{};
-  std::snprintf(At.data(), At.size(), "%.3f", E.Wall_ != 0 ? E.Wall_ : E.Own_);
+  std::snprintf(At.data(), At.size(), "%.3f",
+                E.WallTime_ != 0 ? E.WallTime_ : E.MonotonicTime_);
   std::string Out = std::string(At.data()) + " " + E.Process_ + " " + E.kind();
   static const std::set<std::string, std::less<>> Shown = {"t", "process",
                                                            "event"};
--- a/hawthornroad/ctl/LogReader.h
+++ b/hawthornroad/ctl/LogReader.h
@@ -1,17 +1,19 @@
-// Reads the structured logs of many processes (runtime/EventLog) as one story.
+// Merges the structured logs of many processes (runtime/EventLog) into one
+// timeline.
 //
-//   LogStory Story;
-//   Story.read(Stream, "entry.log");
-//   for (const LogEvent &E : Story.ofRequest("9c41d07be2a35f68")) ...
-//   for (const auto &[Cause, Count] : Story.refusals()) ...
+//   LogTimeline Timeline;
+//   Timeline.read(Stream);
+//   for (const LogEvent &E : Timeline.eventsOfRequest("9c41d07be2a35f68")) ...
+//   for (const auto &[Cause, Count] : Timeline.refusals()) ...
 //
-// Each process stamps its lines with a steady clock of its own machine; its
-// line "start" names the time of day at that moment, which places all of them.
-// Events of one process are in their true order; between processes the order is
-// as good as the machines' times of day.
+// Each process stamps its lines with the monotonic clock of its machine. Its
+// "start" line also carries the wall-clock time, from which the wall-clock time
+// of its other lines is computed. Events of one process are in their true
+// order; the order between processes is as accurate as the wall clocks of their
+// machines.
 //
-// A line that is not one of ours is counted and passed over: logs are cut off
-// by kills and mixed with other output.
+// Lines that are not events of this system are counted and skipped: a killed
+// process truncates its last line, and other output is mixed into the logs.
 
 #ifndef HAWTHORNROAD_CTL_LOGREADER_H
 #define HAWTHORNROAD_CTL_LOGREADER_H
@@ -26,11 +28,12 @@
 
 struct LogEvent {
   std::string Process_;
-  // Seconds of the process's own clock, and since the epoch when its start line
-  // was read before (else 0).
-  double Own_ = 0;
-  double Wall_ = 0;
-  // Counts the process's starts: a restarted one believes nothing of before.
+  // Seconds on the process's monotonic clock, and seconds since the epoch (0
+  // when no start line of the process precedes the event).
+  double MonotonicTime_ = 0;
+  double WallTime_ = 0;
+  // Number of starts of the process so far. A restarted process keeps no state
+  // of an earlier run.
   unsigned Run_ = 0;
   boost::json::object Fields_;
 
@@ -38,36 +41,37 @@
   std::string kind() const { return text("event"); }
 };
 
-class LogStory {
+class LogTimeline {
 public:
   void read(std::istream &In);
 
   std::size_t lines() const { return Events_.size(); }
   std::size_t badLines() const { return BadLines_; }
-  // Lines that processes said they had dropped.
+  // Lines that processes reported as dropped.
   std::uint64_t droppedLines() const { return Dropped_; }
 
-  // Everything that names the request, in order, after what its processes
-  // believed when it came: configuration, store, readiness, and the endpoints
-  // that it was sent to.
-  std::vector<LogEvent> ofRequest(const std::string &Id) const;
+  // All events that name the request, in order, preceded by the state of each
+  // process involved when the request arrived: configuration, store, readiness,
+  // and the endpoints that the request was sent to.
+  std::vector<LogEvent> eventsOfRequest(const std::string &Id) const;
 
   struct CauseCount {
     std::size_t Count_ = 0;
-    // One request of this kind, to trace.
+    // Id of one such request, as an argument to "trace".
     std::string Example_;
   };
-  // Requests that were not answered by an endpoint, by status and cause.
+  // Requests with an error status or a cause of failure, by status and cause.
   std::map<std::string, CauseCount> refusals() const;
   std::size_t requests() const;
 
 private:
-  void addBeliefs(const LogEvent &First, const std::vector<LogEvent> &Own,
-                  std::vector<LogEvent> &Out) const;
+  void addPrecedingState(const LogEvent &First,
+                         const std::vector<LogEvent> &RequestEvents,
+                         std::vector<LogEvent> &Out) const;
 
   std::vector<LogEvent> Events_;
-  // The latest start of each process: its number, and the difference between
-  // the time of day and its clock.
+  // The latest start of each process: its number, and the offset of the wall
+  // clock from the monotonic clock.
   struct Start {
     unsigned Run_ = 0;
     double Offset_ = 0;
@@ -77,7 +81,7 @@
   std::uint64_t Dropped_ = 0;
 };
 
-// "process event key=value ...", for a reader.
+// "time process event key=value ...", for people.
 std::string describe(const LogEvent &E);
 
 } // namespace hawthornroad
--- a/tests/unit/CtlTest.cpp
+++ b/tests/unit/CtlTest.cpp
@@ -107,8 +107,8 @@
   REQUIRE(run({"validate", (Folder_ / "none").string()}) == 2);
 }
 
-// A text that is refused must leave no trace: the table is not even asked, so
-// the address of nobody is no obstacle to seeing the faults.
+// An invalid configuration must be refused before the table is contacted: the
+// faults are reported although nothing listens at the given address.
 TEST_CASE_METHOD(CtlFixture, "ctl, apply of a bad text, does not ask the table",
                  "[ctl]") {
   std::string File = file("bad.jsonc", "{\"format\": 7}");
@@ -116,7 +116,7 @@
   REQUIRE_THAT(Err_.str(), Contains("format: expected"));
 }
 
-TEST_CASE_METHOD(CtlFixture, "ctl, table not there, exits with 4", "[ctl]") {
+TEST_CASE_METHOD(CtlFixture, "ctl, table unreachable, exits with 4", "[ctl]") {
   std::string File = file("good.jsonc", "{\"format\": 1}");
   REQUIRE(run({"diff", File, "--table", "127.0.0.1:1"}) == 4);
   REQUIRE(run({"apply", File, "--table", "127.0.0.1:1", "--charts",
@@ -156,9 +156,9 @@
   REQUIRE(describePatch(boost::json::object()).empty());
 }
 
-// The operator must be told exactly who has not applied a revision: a process
-// that is only suspected still counts, one that has left or died does not, and
-// an admin address that gives no answer cannot be taken for done.
+// The operator needs the exact list of processes that have not applied a
+// revision: a suspected process still counts, one that has left or died does
+// not, and an admin address that does not answer counts as behind.
 TEST_CASE("fleet status, some processes late, names exactly those", "[ctl]") {
   FleetStatus S;
   S.Reports_.push_back(parseProcessReport(
--- a/tests/unit/LogReaderTest.cpp
+++ b/tests/unit/LogReaderTest.cpp
@@ -10,8 +10,8 @@
 using namespace hawthornroad;
 
 namespace {
-// Two processes; the second began an hour later by its own clock. One line is
-// cut off, one is not ours, one carries a collector's mark.
+// Two processes, whose monotonic clocks are an hour apart. One line is
+// truncated, one is not an event, one has a prefix added by a log collector.
 const std::string LogText =
     R"({"t":10.0,"process":"e1","event":"start","wall_ms":1000000}
 {"t":10.5,"process":"e1","event":"config","version":7}
@@ -41,43 +41,43 @@
 };
 } // namespace
 
-TEST_CASE("log story, asked for a request, tells its lines after what its "
-          "process believed then",
+TEST_CASE("log timeline, asked for a request, gives its events after the "
+          "state of its process at that time",
           "[log]") {
-  LogStory Story;
+  LogTimeline Timeline;
   std::istringstream In(LogText);
-  Story.read(In);
-  REQUIRE(Story.badLines() == 2);
-  REQUIRE(Story.droppedLines() == 5);
-  auto Events = Story.ofRequest("r1");
+  Timeline.read(In);
+  REQUIRE(Timeline.badLines() == 2);
+  REQUIRE(Timeline.droppedLines() == 5);
+  auto Events = Timeline.eventsOfRequest("r1");
   std::vector<std::string> Kinds;
   for (const LogEvent &E : Events)
     Kinds.push_back(E.kind());
   REQUIRE(Kinds == std::vector<std::string>{"start", "config", "store_lost",
                                             "endpoint", "attempt", "attempt",
                                             "request"});
-  // The configuration of that time, not the later one, and only the endpoint
-  // it was sent to.
+  // The configuration at the time of the request, not the later one, and only
+  // the endpoint that the request was sent to.
   REQUIRE(Events[1].text("version") == "7");
   REQUIRE(Events[3].text("endpoint") == "i-1");
-  REQUIRE(Events[4].Wall_ == Approx(1002.0));
-  REQUIRE(Story.ofRequest("none").empty());
+  REQUIRE(Events[4].WallTime_ == Approx(1002.0));
+  REQUIRE(Timeline.eventsOfRequest("none").empty());
 }
 
-TEST_CASE("log story, summed up, counts refusals by status and cause",
+TEST_CASE("log timeline, summed up, counts refusals by status and cause",
           "[log]") {
-  LogStory Story;
+  LogTimeline Timeline;
   std::istringstream In(LogText);
-  Story.read(In);
-  auto Causes = Story.refusals();
-  REQUIRE(Story.requests() == 4);
+  Timeline.read(In);
+  auto Causes = Timeline.refusals();
+  REQUIRE(Timeline.requests() == 4);
   REQUIRE(Causes.size() == 2);
   REQUIRE(Causes.at("503 line_full").Count_ == 2);
   REQUIRE(Causes.at("503 line_full").Example_ == "r2");
   REQUIRE(Causes.at("502 attempt_lost").Count_ == 1);
 }
 
-TEST_CASE("hawthornroadctl, given logs, prints stories with its exit codes",
+TEST_CASE("hawthornroadctl, given logs, prints timelines with its exit codes",
           "[ctl]") {
   LogFile F;
   struct Row {
