--- a/fakes/EngineFake.cpp
+++ b/fakes/EngineFake.cpp
@@ -12,9 +12,9 @@
 namespace {
 constexpr std::uint64_t DefaultPriority = 1;
 constexpr std::uint64_t LowestPriority = 2;
-// A step never takes less: the loop must leave time for its sockets.
+// Minimum duration of a step, so that the event loop has time for sockets.
 constexpr Duration MinStep = std::chrono::microseconds(100);
-// Answers kept as evidence; the oldest go first.
+// Answers kept for /admin/record; the oldest are dropped first.
 constexpr std::size_t MaxAnswers = 100'000;
 
 TimePoint now() { return std::chrono::steady_clock::now(); }
@@ -42,7 +42,7 @@
                                               Factor);
 }
 
-double inMilliseconds(Duration D) {
+double toMilliseconds(Duration D) {
   return std::chrono::duration<double, std::milli>(D).count();
 }
 } // namespace
@@ -50,7 +50,7 @@
 EngineFake::EngineFake(IoThread &Io, Options O)
     : Io_(Io), Options_(O), Model_(Io, O.Model_), Prefixes_(O.PrefixCache_),
       Reports_(O.ReportLag_,
-               LoadReport{.StepMs_ = inMilliseconds(stepTime())}) {}
+               LoadReport{.StepMs_ = toMilliseconds(stepTime())}) {}
 
 void EngineFake::handle(const HttpRequest &R, const ExchangePtr &X) {
   std::string_view Path = targetPath(R.Target_);
@@ -75,21 +75,23 @@
     return respondError(X, 500, "failed by a fault before it ran");
   if (!Model_.isReady())
     return respondError(X, 503, "no model is ready");
-  auto Made = std::make_shared<Request>();
-  Made->Completion_ = parseCompletion(R);
-  Made->Attempt_ = headerOr(R, "Engine-Request", "");
-  Made->RunKey_ = headerOr(R, "Idempotency-Key", Made->Attempt_);
-  Made->Next_ = numberHeader(R, "Engine-Resume-Events", 0);
-  if (Made->Next_ > Made->Completion_.MaxTokens_)
+  auto NewRequest = std::make_shared<Request>();
+  NewRequest->Completion_ = parseCompletion(R);
+  NewRequest->Attempt_ = headerOr(R, "Engine-Request", "");
+  NewRequest->RunKey_ = headerOr(R, "Idempotency-Key", NewRequest->Attempt_);
+  NewRequest->Next_ = numberHeader(R, "Engine-Resume-Events", 0);
+  if (NewRequest->Next_ > NewRequest->Completion_.MaxTokens_)
     return respondError(X, 400, "resumed after the end of the answer");
-  Made->Answer_ = X;
-  // The exchange holds this closure: it must not hold the request in turn.
-  X->onDisconnect([Weak = std::weak_ptr(Made)] {
-    if (auto Left = Weak.lock())
-      Left->Gone_ = true;
+  NewRequest->Answer_ = X;
+  // The exchange owns this closure, so a strong reference to the request would
+  // form a cycle.
+  X->onDisconnect([Weak = std::weak_ptr(NewRequest)] {
+    if (auto Locked = Weak.lock())
+      Locked->Ended_ = true;
   });
   std::uint64_t Asked = numberHeader(R, "Engine-Priority", DefaultPriority);
-  Waiting_[{std::min(Asked, LowestPriority), ++Arrivals_}] = std::move(Made);
+  Waiting_[{std::min(Asked, LowestPriority), ++Arrivals_}] =
+      std::move(NewRequest);
   admit();
 }
 
@@ -97,7 +99,7 @@
   while (!Waiting_.empty() && Running_.size() < Options_.Capacity_) {
     RequestPtr First = Waiting_.begin()->second;
     Waiting_.erase(Waiting_.begin());
-    if (!First->Gone_)
+    if (!First->Ended_)
       start(First);
   }
   report();
@@ -105,7 +107,7 @@
 
 void EngineFake::start(const RequestPtr &R) {
   R->Version_ = Model_.version();
-  ++Runs_[R->RunKey_];
+  ++RunsByKey_[R->RunKey_];
   if (R->Next_ > 0)
     ++Resumed_;
   Answers_.push_back({R->Attempt_, R->Version_});
@@ -131,32 +133,34 @@
   if (!Silent_)
     for (const RequestPtr &Each : Running_)
       advance(*Each, Now);
-  std::erase_if(Running_, [](const RequestPtr &R) { return R->Gone_; });
+  std::erase_if(Running_, [](const RequestPtr &R) { return R->Ended_; });
   admit();
   Stepping_ = !Running_.empty();
   if (!Stepping_)
     return;
-  // From the time this step was due: a late timer does not slow the batch.
+  // Counted from the due time of this step, so that a late timer does not slow
+  // the batch.
   NextStep_ = std::max(NextStep_ + stepTime(), Now);
   Io_.after(NextStep_ - Now, [this] { step(); });
 }
 
 void EngineFake::advance(Request &R, TimePoint Now) {
-  if (R.Gone_ || Now < R.PrefillUntil_)
+  if (R.Ended_ || Now < R.PrefillUntil_)
     return;
-  // A step later than the last token, so that it is on its way before the cut.
-  if (DieAfter_ > 0 && R.Emitted_ >= DieAfter_) {
+  // Aborts one step after the last token, so that the token is sent before the
+  // connection is cut.
+  if (AbortAfterTokens_ > 0 && R.Emitted_ >= AbortAfterTokens_) {
     R.Answer_->abort();
-    R.Gone_ = true;
+    R.Ended_ = true;
     return;
   }
   if (R.Next_ < R.Completion_.MaxTokens_)
     emit(R);
   if (R.Next_ < R.Completion_.MaxTokens_)
     return;
-  if (DieAfter_ > 0 && R.Emitted_ >= DieAfter_)
+  if (AbortAfterTokens_ > 0 && R.Emitted_ >= AbortAfterTokens_)
     return;
-  R.Gone_ = true;
+  R.Ended_ = true;
   if (R.Completion_.Stream_) {
     R.Answer_->write(doneEvent());
     return R.Answer_->finish();
@@ -185,13 +189,14 @@
   respondJson(X, 200, {{"cancelled", Found}});
 }
 
-// Ends the requests of an attempt, running or waiting; false when none is here.
+// Aborts the running and waiting requests of an attempt; false when there are
+// none.
 bool EngineFake::end(const std::string &Attempt) {
   auto Ends = [&](const RequestPtr &R) {
-    if (R->Attempt_ != Attempt || R->Gone_)
+    if (R->Attempt_ != Attempt || R->Ended_)
       return false;
     R->Answer_->abort();
-    R->Gone_ = true;
+    R->Ended_ = true;
     return true;
   };
   auto Removed = std::erase_if(Running_, Ends);
@@ -216,7 +221,7 @@
 void EngineFake::unload() {
   for (const RequestPtr &Each : Running_) {
     Each->Answer_->abort();
-    Each->Gone_ = true;
+    Each->Ended_ = true;
   }
   Running_.clear();
   for (const auto &[Place, Each] : Waiting_)
@@ -229,7 +234,7 @@
 void EngineFake::report() {
   Reports_.set({.Running_ = Running_.size(),
                 .Waiting_ = Waiting_.size(),
-                .StepMs_ = inMilliseconds(stepTime())},
+                .StepMs_ = toMilliseconds(stepTime())},
                now());
 }
 
@@ -258,7 +263,8 @@
 void EngineFake::setFaults(const Faults &Set) {
   Silent_ = Set.flag("silent");
   FailRequests_ = Set.flag("fail_requests");
-  DieAfter_ = static_cast<std::uint64_t>(Set.integer("die_after_tokens", 0));
+  AbortAfterTokens_ =
+      static_cast<std::uint64_t>(Set.integer("die_after_tokens", 0));
   SlowFactor_ = Set.number("slow_factor", 1);
   Model_.failLoads(Set.flag("fail_loads"));
   report();
@@ -266,7 +272,7 @@
 
 json::object EngineFake::counters() const {
   json::object Runs;
-  for (const auto &[Key, Count] : Runs_)
+  for (const auto &[Key, Count] : RunsByKey_)
     Runs[Key] = Count;
   return {{"runs", std::move(Runs)},
           {"tokens", Tokens_},
--- a/fakes/EngineFake.h
+++ b/fakes/EngineFake.h
@@ -1,11 +1,11 @@
-// A model engine with continuous batching.
+// Fake of a model engine with continuous batching.
 //
-// Up to Capacity requests run; the others wait, higher priority first, then in
-// order of arrival. One timer drives the batch: each step gives every running
-// request whose prefill is over its next token. So a thousand streams cost one
-// timer and no thread, and a slow factor slows all of them, as in a real
-// batch. An order to load ends what runs: an engine that swaps its weights
-// cannot go on with answers of the old ones.
+// Up to Capacity requests run; the others wait, ordered by priority and then by
+// arrival. One timer drives the batch: each step generates the next token of
+// every running request whose prefill is complete. A thousand streams therefore
+// cost one timer and no thread, and the slow factor applies to all of them, as
+// in a real batch. A load order aborts the running requests, because an engine
+// that swaps its weights cannot continue answers of the previous ones.
 
 #ifndef HAWTHORNROAD_FAKES_ENGINEFAKE_H
 #define HAWTHORNROAD_FAKES_ENGINEFAKE_H
@@ -50,13 +50,13 @@
     std::uint64_t Next_ = 0;
     std::uint64_t Emitted_ = 0;
     TimePoint PrefillUntil_;
-    bool Gone_ = false;
+    bool Ended_ = false;
   };
   using RequestPtr = std::shared_ptr<Request>;
-  struct QueuePlace {
+  struct QueueKey {
     std::uint64_t Priority_ = 0;
     std::uint64_t Arrival_ = 0;
-    auto operator<=>(const QueuePlace &) const = default;
+    auto operator<=>(const QueueKey &) const = default;
   };
   struct LoadReport {
     std::size_t Running_ = 0;
@@ -86,19 +86,19 @@
 
   bool Silent_ = false;
   bool FailRequests_ = false;
-  std::uint64_t DieAfter_ = 0;
+  std::uint64_t AbortAfterTokens_ = 0;
   double SlowFactor_ = 1;
 
   EngineModel Model_;
   PrefixCache Prefixes_;
   Lagged<LoadReport> Reports_;
-  std::map<QueuePlace, RequestPtr> Waiting_;
+  std::map<QueueKey, RequestPtr> Waiting_;
   std::vector<RequestPtr> Running_;
   std::uint64_t Arrivals_ = 0;
   bool Stepping_ = false;
   TimePoint NextStep_;
 
-  std::map<std::string, std::uint64_t> Runs_;
+  std::map<std::string, std::uint64_t> RunsByKey_;
   std::deque<std::pair<std::string, VersionDigest>> Answers_;
   std::uint64_t Tokens_ = 0;
   std::uint64_t Cancelled_ = 0;
--- a/fakes/EngineModel.cpp
+++ b/fakes/EngineModel.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 struct EngineModel::FileRead {
-  bool Whole_ = false;
+  bool Complete_ = false;
   std::uint64_t Size_ = 0;
   std::string Digest_;
 
@@ -39,7 +39,7 @@
       Hash.update({Buffer.data(), Got});
       Read.Size_ += Got;
     }
-    Read.Whole_ = File.eof();
+    Read.Complete_ = File.eof();
     Read.Digest_ = Hash.finish();
     return Read;
   }
@@ -56,16 +56,16 @@
   Files_.submit([this, Generation, Order] {
     FileRead Read = FileRead::of(Order.Path_);
     boost::asio::post(Io_.context(), [this, Generation, Order, Read] {
-      readDone(Generation, Order, Read);
+      onFileRead(Generation, Order, Read);
     });
   });
   return true;
 }
 
-void EngineModel::readDone(std::uint64_t Generation, const LoadOrder &Order,
-                           const FileRead &Read) {
+void EngineModel::onFileRead(std::uint64_t Generation, const LoadOrder &Order,
+                             const FileRead &Read) {
   std::string Error;
-  if (!Read.Whole_)
+  if (!Read.Complete_)
     Error = "file cannot be read";
   else if (FailLoads_)
     Error = "load failed by a fault";
--- a/fakes/EngineModel.h
+++ b/fakes/EngineModel.h
@@ -1,9 +1,9 @@
-// What a model engine has loaded, and the orders that changed it.
+// The model loaded by a fake engine, and the record of its loads.
 //
-// An engine trusts its orders: it serves whatever version the order names once
-// the file has been read, whatever the bytes were, and only one that checks
-// fencing numbers refuses an order older than one it has seen. The record of
-// loads is the evidence by which tests find a wrong order.
+// The engine does not verify the file: once it has been read, the engine serves
+// the version that the order names, whatever the bytes are. Only an engine that
+// checks fencing numbers refuses an order older than one it has seen. Tests
+// detect wrong orders by the record of loads.
 
 #ifndef HAWTHORNROAD_FAKES_ENGINEMODEL_H
 #define HAWTHORNROAD_FAKES_ENGINEMODEL_H
@@ -34,22 +34,22 @@
 
   EngineModel(IoThread &Io, Options O) : Io_(Io), Options_(O) {}
 
-  // False when the fencing number is refused; nothing has changed then. A
-  // later order replaces one still loading.
+  // Returns false and changes nothing when the fencing number is refused. A
+  // later order replaces one that is still loading.
   bool load(const LoadOrder &Order);
   void failLoads(bool On) { FailLoads_ = On; }
 
   bool isReady() const { return State_ == State::Ready; }
-  // The version served, or of the order under way or failed.
+  // The version that is served, being loaded, or failed to load.
   const VersionDigest &version() const { return Order_.Version_; }
   boost::json::object status() const;
-  // Every file read whole, in order of reading.
+  // Every file that was read completely, in order of reading.
   const boost::json::array &loads() const { return Loads_; }
 
 private:
   struct FileRead;
-  void readDone(std::uint64_t Generation, const LoadOrder &Order,
-                const FileRead &Read);
+  void onFileRead(std::uint64_t Generation, const LoadOrder &Order,
+                  const FileRead &Read);
   void finish(std::uint64_t Generation, const std::string &Error);
 
   IoThread &Io_;
@@ -59,10 +59,10 @@
   LoadOrder Order_;
   std::string Error_;
   std::uint64_t HighestFencing_ = 0;
-  // Counts orders, so that the end of a replaced one is not taken for ours.
+  // Counts orders, so that the completion of a replaced order is ignored.
   std::uint64_t Generation_ = 0;
   boost::json::array Loads_;
-  // Files are read and hashed here, so that running answers do not stall.
+  // Reads and hashes files, so that running answers do not stall.
   IoThread Files_{"engine-files", 64};
 };
 
--- a/fakes/EngineTokens.cpp
+++ b/fakes/EngineTokens.cpp
@@ -66,8 +66,8 @@
   return Count;
 }
 
-// The members every event and answer has; the id names the answer, not the
-// attempt.
+// The members common to all events and answers. The id identifies the answer,
+// not the attempt.
 json::object answerHead(const VersionDigest &Version, const Completion &C,
                         bool Part) {
   std::string Kind = C.Chat_ ? "chat.completion" : "text_completion";
@@ -102,9 +102,9 @@
 
 std::string tokenText(const VersionDigest &Version, std::string_view Prompt,
                       std::uint64_t Index) {
-  std::uint64_t Mixed =
+  std::uint64_t TokenHash =
       rendezvousScore(hex(answerHash(Version, Prompt)), std::to_string(Index));
-  return " " + hex(Mixed).substr(8);
+  return " " + hex(TokenHash).substr(8);
 }
 
 std::string tokenEvent(const VersionDigest &Version, const Completion &C,
--- a/fakes/FakeServer.cpp
+++ b/fakes/FakeServer.cpp
@@ -19,7 +19,7 @@
   HttpServer::Limits L;
   L.MaxBody_ = MaxBody;
   L.MaxConnections_ = MaxConnections;
-  // A frozen caller is a matter for the daemons under test, not for stand-ins.
+  // Stalled callers are handled by the daemons under test, not by the fakes.
   L.WriteTimeout_ = Seconds(600);
   return L;
 }
@@ -69,9 +69,9 @@
 }
 
 void FakeServer::dispatch(HttpRequest R, const ExchangePtr &X) {
-  if (answerTest(R, X))
+  if (answerControlRequest(R, X))
     return;
-  // A silent stand-in drops its side of the exchange: the connection stays
+  // A silent fake drops its reference to the exchange: the connection stays
   // open and nothing is ever written to it.
   if (Faults_.flag("silent"))
     return;
@@ -82,12 +82,13 @@
   std::int64_t Delay = Faults_.integer("delay_ms", 0);
   if (Delay <= 0)
     return handle(R, X);
-  // The whole call is late, its effect included: a caller that has given up
-  // by then still sees its write appear.
+  // Delays the whole call including its effect: a write takes effect even if
+  // its caller has timed out by then.
   Io_.after(Milliseconds(Delay), [this, R = std::move(R), X] { handle(R, X); });
 }
 
-bool FakeServer::answerTest(const HttpRequest &R, const ExchangePtr &X) {
+bool FakeServer::answerControlRequest(const HttpRequest &R,
+                                      const ExchangePtr &X) {
   if (R.Method_ == "GET" && R.Target_ == "/counters") {
     respondJson(X, 200, Hooks_.Counters_());
     return true;
@@ -99,9 +100,9 @@
   if (R.Method_ != "POST" || R.Target_ != "/faults")
     return false;
   try {
-    Faults Wanted(parseObject(R.Body_));
-    Hooks_.SetFaults_(Wanted);
-    Faults_ = Wanted;
+    Faults NewFaults(parseObject(R.Body_));
+    Hooks_.SetFaults_(NewFaults);
+    Faults_ = NewFaults;
     respondJson(X, 200, {{"ok", true}});
   } catch (const Error &E) {
     respondError(X, 400, E.what());
--- a/fakes/FakeServer.h
+++ b/fakes/FakeServer.h
@@ -1,5 +1,5 @@
-// What every stand-in shares: an HTTP server, faults set by tests, counters
-// read by tests, and the ready line.
+// The HTTP server common to all fakes, with faults set by tests and counters
+// read by tests.
 //
 //   IoThread Io("fake", 4096);
 //   StoreFake Table(StoreFake::Kind::Table);
@@ -7,10 +7,10 @@
 //   std::string Address = Server.listen("127.0.0.1:0");
 //
 // The server answers GET /healthz, GET /counters and POST /faults itself and
-// applies the faults "down", "silent" and "delay_ms"; everything else goes to
-// the stand-in. All of a stand-in runs on its IoThread, so none needs a lock.
-// The paths tests read (/counters, /faults, /admin/record) are answered under
-// every fault.
+// applies the faults "down", "silent" and "delay_ms"; it passes all other
+// requests to the fake. A fake runs entirely on its IoThread and needs no lock.
+// The control paths used by tests (/counters, /faults, /admin/record) are
+// answered under every fault.
 
 #ifndef HAWTHORNROAD_FAKES_FAKESERVER_H
 #define HAWTHORNROAD_FAKES_FAKESERVER_H
@@ -28,14 +28,14 @@
 
 using ExchangePtr = std::shared_ptr<HttpExchange>;
 
-// The faults now set. A POST replaces them all; an absent one is off.
+// The active faults. A POST replaces all of them; an absent fault is off.
 class Faults {
 public:
   Faults() = default;
   explicit Faults(boost::json::object Values) : Values_(std::move(Values)) {}
 
   bool flag(std::string_view Name) const;
-  // Throws Error(Step::Settings) when the value is no number.
+  // Throws Error(Step::Settings) when the value is not a number.
   double number(std::string_view Name, double Default) const;
   std::int64_t integer(std::string_view Name, std::int64_t Default) const;
   // Null when absent.
@@ -46,8 +46,9 @@
 };
 
 template <class T>
-concept StandIn = requires(T &Fake, const T &Read, const HttpRequest &Request,
-                           ExchangePtr Answer, const Faults &Set) {
+concept FakeHandler = requires(T &Fake, const T &Read,
+                               const HttpRequest &Request, ExchangePtr Answer,
+                               const Faults &Set) {
   { Fake.handle(Request, Answer) } -> std::same_as<void>;
   { Fake.setFaults(Set) } -> std::same_as<void>;
   { Read.counters() } -> std::same_as<boost::json::object>;
@@ -55,8 +56,8 @@
 
 class FakeServer {
 public:
-  // Fake must outlive the IoThread's run.
-  template <StandIn T>
+  // Fake must outlive the run of the IoThread.
+  template <FakeHandler T>
   FakeServer(IoThread &Io, T &Fake)
       : FakeServer(Io,
                    Hooks{[&Fake](const HttpRequest &R, ExchangePtr X) {
@@ -65,7 +66,7 @@
                          [&Fake](const Faults &Set) { Fake.setFaults(Set); },
                          [&Fake] { return std::as_const(Fake).counters(); }}) {}
 
-  // Binds "IP:port" and returns the bound one. Throws Error(Step::Listen).
+  // Binds "IP:port" and returns the bound address. Throws Error(Step::Listen).
   std::string listen(const std::string &Address);
 
 private:
@@ -77,7 +78,7 @@
 
   FakeServer(IoThread &Io, Hooks H);
   void dispatch(HttpRequest R, const ExchangePtr &X);
-  bool answerTest(const HttpRequest &R, const ExchangePtr &X);
+  bool answerControlRequest(const HttpRequest &R, const ExchangePtr &X);
   void handle(const HttpRequest &R, const ExchangePtr &X);
 
   IoThread &Io_;
@@ -86,20 +87,20 @@
   HttpServer Server_;
 };
 
-// The path of a request's target, without its query.
+// The path of a request target, without the query.
 std::string_view targetPath(std::string_view Target);
-// The value of Name in a target's query, decoded; empty when absent.
+// The decoded value of query parameter Name; empty when absent.
 std::string queryValue(std::string_view Target, std::string_view Name);
-// Replaces %XX by the byte it stands for.
+// Decodes %XX sequences.
 std::string percentDecode(std::string_view Text);
 
-// Answers with an object.
+// Responds with a JSON object.
 void respondJson(const ExchangePtr &X, unsigned Status,
                  const boost::json::object &Body, HttpHeaders Headers = {});
-// Answers {"error": Message}.
+// Responds with {"error": Message}.
 void respondError(const ExchangePtr &X, unsigned Status,
                   const std::string &Message);
-// The body of a request as an object; throws Error(Step::Receive).
+// Parses a request body as a JSON object; throws Error(Step::Receive).
 boost::json::object parseObject(const std::string &Body);
 
 } // namespace hawthornroad
--- a/fakes/FrameFilter.cpp
+++ b/fakes/FrameFilter.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr std::size_t LengthBytes = 4;
-// As PeerNet: a longer "frame" is no frame.
+// The frame limit of PeerNet; a stream with a longer length is not framed.
 constexpr std::size_t MaxFrame = 16 * 1024 * 1024;
 
 std::size_t lengthOf(const std::string &Header) {
@@ -29,12 +29,12 @@
   Bytes_ += In.size();
   while (!In.empty()) {
     if (Unframed_)
-      Out.Bytes_ += takeBytes(In, In.size());
-    else if (Left_ == 0)
+      Out.Bytes_ += consumeBytes(In, In.size());
+    else if (Remaining_ == 0)
       readHeader(In, F, Out);
     else
       readBody(In, Out);
-    bool AtEnd = Left_ == 0 && Header_.empty();
+    bool AtEnd = Remaining_ == 0 && Header_.empty();
     if (F.CutAfterFrames_ > 0 && AtEnd && Frames_ >= F.CutAfterFrames_) {
       Out.Cut_ = true;
       break;
@@ -43,8 +43,8 @@
   return Out;
 }
 
-std::string_view FrameFilter::takeBytes(std::string_view &In,
-                                        std::size_t Most) {
+std::string_view FrameFilter::consumeBytes(std::string_view &In,
+                                           std::size_t Most) {
   std::string_view Taken = In.substr(0, Most);
   In.remove_prefix(Taken.size());
   return Taken;
@@ -52,7 +52,7 @@
 
 void FrameFilter::readHeader(std::string_view &In, const FrameFaults &F,
                              Output &Out) {
-  Header_ += takeBytes(In, LengthBytes - Header_.size());
+  Header_ += consumeBytes(In, LengthBytes - Header_.size());
   if (Header_.size() < LengthBytes)
     return;
   std::size_t Length = lengthOf(Header_);
@@ -60,7 +60,7 @@
     Unframed_ = true;
     Action_ = Action::Pass;
   } else {
-    Left_ = Length;
+    Remaining_ = Length;
     Action_ = choose(F);
   }
   if (Action_ == Action::Pass)
@@ -70,13 +70,13 @@
 }
 
 void FrameFilter::readBody(std::string_view &In, Output &Out) {
-  std::string_view Part = takeBytes(In, Left_);
-  Left_ -= Part.size();
+  std::string_view Part = consumeBytes(In, Remaining_);
+  Remaining_ -= Part.size();
   if (Action_ == Action::Pass)
     Out.Bytes_ += Part;
   else if (Action_ != Action::Drop)
     Frame_ += Part;
-  if (Left_ == 0)
+  if (Remaining_ == 0)
     endFrame(Out);
 }
 
@@ -98,16 +98,16 @@
   bool First = Frames_ == 0;
   if (First)
     return Action::Pass;
-  if (strikes(F.Drop_))
+  if (isSelected(F.Drop_))
     return Action::Drop;
-  if (strikes(F.Duplicate_))
+  if (isSelected(F.Duplicate_))
     return Action::Duplicate;
-  if (Held_.empty() && strikes(F.Reorder_))
+  if (Held_.empty() && isSelected(F.Reorder_))
     return Action::Hold;
   return Action::Pass;
 }
 
-bool FrameFilter::strikes(const FrameShare &S) {
+bool FrameFilter::isSelected(const FrameSelection &S) {
   if (S.Share_ <= 0)
     return false;
   if (!Random_ || Seed_ != S.Seed_)
--- a/fakes/Lagged.h
+++ b/fakes/Lagged.h
@@ -1,10 +1,10 @@
-// A value as it was some time ago: what a report that lags shows.
+// A value that is read with a fixed delay, such as a lagging report.
 //
 //   Lagged<Load> Reports(Milliseconds(200));
 //   Reports.set(Current, Now);
 //   Load Shown = Reports.at(Now);
 //
-// Cost: values set within the lag are kept, older ones but one are dropped.
+// Cost: keeps the values set within the lag and one older value.
 
 #ifndef HAWTHORNROAD_FAKES_LAGGED_H
 #define HAWTHORNROAD_FAKES_LAGGED_H
@@ -23,19 +23,19 @@
   }
 
   void set(T Value, TimePoint Now) {
-    drop(Now);
+    dropOutdated(Now);
     Values_.push_back({Now, std::move(Value)});
   }
 
-  // The value in force at Now minus the lag.
+  // The value that was current at Now minus the lag.
   const T &at(TimePoint Now) {
-    drop(Now);
+    dropOutdated(Now);
     return Values_.front().second;
   }
 
 private:
-  // Keeps at the front the last value whose time has come.
-  void drop(TimePoint Now) {
+  // Drops values until the first one is the value current at Now minus the lag.
+  void dropOutdated(TimePoint Now) {
     while (Values_.size() > 1 && Values_[1].first + Lag_ <= Now)
       Values_.pop_front();
   }
--- a/fakes/Main.cpp
+++ b/fakes/Main.cpp
@@ -1,6 +1,6 @@
-// hawthornroad-fakes KIND --listen IP:PORT [options]: one stand-in.
-// Exit codes: 0 after SIGTERM, --help or --version; 1 when the stand-in could
-// not start; 2 for a command line that is not understood.
+// hawthornroad-fakes KIND --listen IP:PORT [options]: runs one fake.
+// Exit codes: 0 after SIGTERM, --help or --version; 1 when the fake could not
+// start; 2 for an invalid command line.
 
 #include "fakes/EngineFake.h"
 #include "fakes/MembersFake.h"
@@ -24,7 +24,7 @@
 constexpr std::size_t RingSize = 16384;
 
 po::options_description commonOptions() {
-  po::options_description Options("Options of every kind");
+  po::options_description Options("Options of all kinds");
   auto Add = Options.add_options();
   Add("help", "print this text");
   Add("version", "print the version");
@@ -41,9 +41,9 @@
   Add("root", po::value<std::string>()->default_value("."),
       "origin: folder of the files");
   Add("rate", po::value<double>()->default_value(0),
-      "origin: bytes a second of all answers together; 0 is no limit");
+      "origin: bytes per second of all answers; 0 means no limit");
   Add("lag-ms", po::value<int>()->default_value(0),
-      "members: age of the list that is answered");
+      "members: age of the returned list");
   return Options;
 }
 
@@ -51,23 +51,23 @@
   po::options_description Options("engine and service");
   auto Add = Options.add_options();
   Add("capacity", po::value<std::size_t>()->default_value(8),
-      "engine: requests that run at once");
+      "engine: maximum number of running requests");
   Add("token-ms", po::value<double>()->default_value(5),
-      "engine: time of one step of the batch");
+      "engine: duration of one batch step");
   Add("prefill-ms", po::value<double>()->default_value(0),
       "engine: time before the first token");
   Add("load-ms", po::value<int>()->default_value(0),
-      "engine: time an order to load takes");
+      "engine: duration of a model load");
   Add("checks-fencing", po::bool_switch(),
-      "engine: refuse orders with an old fencing number");
+      "engine: refuse load orders with an old fencing number");
   Add("report-lag-ms", po::value<int>()->default_value(0),
-      "engine: age of the load that is answered");
+      "engine: age of the reported load");
   Add("prefix-cache", po::value<std::size_t>()->default_value(0),
-      "engine: leading blocks of prompts that are kept");
+      "engine: number of cached leading blocks of prompts");
   Add("name", po::value<std::string>()->default_value("service"),
-      "service: its name in answers");
+      "service: name in answers");
   Add("work-ms", po::value<int>()->default_value(0),
-      "service: time of one call");
+      "service: duration of one call");
   return Options;
 }
 
@@ -75,9 +75,9 @@
   po::options_description Options("proxy");
   auto Add = Options.add_options();
   Add("control", po::value<std::string>()->default_value("127.0.0.1:0"),
-      "IP:PORT of faults, counters and target");
+      "IP:PORT for setting faults and target and reading counters");
   Add("to", po::value<std::string>()->default_value(""),
-      "IP:PORT to pass connections to; may be set later by PUT /target");
+      "IP:PORT to forward connections to; can be set by PUT /target");
   return Options;
 }
 
@@ -99,7 +99,7 @@
 }
 
 // SIGTERM and SIGINT are blocked before any thread starts, so that only this
-// wait takes them.
+// wait receives them.
 void blockStopSignals(sigset_t &Signals) {
   sigemptyset(&Signals);
   sigaddset(&Signals, SIGTERM);
@@ -116,7 +116,7 @@
   sigwait(&Signals, &Signal);
 }
 
-template <StandIn T>
+template <FakeHandler T>
 void serve(IoThread &Io, T &Fake, const po::variables_map &Args,
            const sigset_t &Signals) {
   FakeServer Server(Io, Fake);
@@ -199,7 +199,7 @@
       return 0;
     }
     if (Args.count("kind") == 0) {
-      std::cerr << "which kind of stand-in? See --help\n";
+      std::cerr << "missing KIND; see --help\n";
       return ExitUsage;
     }
     return run(Args, Signals);
--- a/fakes/MembersFake.h
+++ b/fakes/MembersFake.h
@@ -1,5 +1,5 @@
-// The platform's list of live and leaving VMs, which lags behind the truth:
-// GET /members answers with what was PUT at least Lag ago.
+// Fake of the platform's list of live and leaving VMs, which lags behind the
+// actual state: GET /members returns the list that was PUT at least Lag ago.
 
 #ifndef HAWTHORNROAD_FAKES_MEMBERSFAKE_H
 #define HAWTHORNROAD_FAKES_MEMBERSFAKE_H
--- a/fakes/OriginFake.cpp
+++ b/fakes/OriginFake.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 constexpr Duration Tick = Milliseconds(2);
-// Tokens kept while nobody reads: a short burst, as a link's buffer allows.
+// Capacity of the token bucket: a short burst, as the buffer of a link allows.
 constexpr double BurstSeconds = 0.02;
-constexpr std::size_t Piece = 64 * 1024;
-// Bytes written but not yet taken by the caller's socket.
+constexpr std::size_t ChunkSize = 64 * 1024;
+// Limit of bytes written but not yet accepted by the socket of the caller.
 constexpr std::size_t MaxBacklog = 1024 * 1024;
 
 struct ByteRange {
@@ -24,7 +24,8 @@
   return !Text.empty() && Result.ec == std::errc() && Result.ptr == End;
 }
 
-// "bytes=A-B" or "bytes=A-" within a file of Size bytes; none otherwise.
+// Parses "bytes=A-B" or "bytes=A-" within a file of Size bytes; nullopt when
+// the range is invalid.
 std::optional<ByteRange> parseRange(std::string_view Text, std::uint64_t Size) {
   constexpr std::string_view Unit = "bytes=";
   std::size_t Dash = Text.find('-');
@@ -47,7 +48,7 @@
                       [](const auto &Part) { return Part == ".."; });
 }
 
-bool strikes(std::int64_t Every, std::uint64_t Count) {
+bool isFaultDue(std::int64_t Every, std::uint64_t Count) {
   return Every > 0 && Count % static_cast<std::uint64_t>(Every) == 0;
 }
 } // namespace
@@ -73,25 +74,25 @@
 void OriginFake::begin(std::shared_ptr<Transfer> T, std::uint64_t Size,
                        const std::optional<std::string> &Range) {
   HttpHeaders Headers = {{"Content-Type", "application/octet-stream"}};
-  T->Left_ = Size;
+  T->Remaining_ = Size;
   if (Range) {
     auto Asked = parseRange(*Range, Size);
     if (!Asked)
       return respondError(T->Answer_, 416, "range is not within the file");
     T->File_.seekg(static_cast<std::streamoff>(Asked->First_));
-    T->Left_ = Asked->Last_ - Asked->First_ + 1;
+    T->Remaining_ = Asked->Last_ - Asked->First_ + 1;
     Headers.push_back({"Content-Range", "bytes " +
                                             std::to_string(Asked->First_) +
                                             "-" + std::to_string(Asked->Last_) +
                                             "/" + std::to_string(Size)});
   }
   ++Answers_;
-  if (strikes(CorruptEvery_, Answers_))
-    T->CorruptIn_ = T->Left_ / 2;
-  if (strikes(TruncateEvery_, Answers_))
-    T->CutIn_ = T->Left_ / 2;
+  if (isFaultDue(CorruptEvery_, Answers_))
+    T->CorruptIn_ = T->Remaining_ / 2;
+  if (isFaultDue(TruncateEvery_, Answers_))
+    T->CutIn_ = T->Remaining_ / 2;
   T->Answer_->head(Range ? 206 : 200, std::move(Headers));
-  T->Answer_->onDisconnect([T] { T->Gone_ = true; });
+  T->Answer_->onDisconnect([T] { T->Ended_ = true; });
   Transfers_.push_back(std::move(T));
   if (!Ticking_) {
     Ticking_ = true;
@@ -103,66 +104,66 @@
   double Elapsed = std::chrono::duration<double>(Now - Refilled_).count();
   Refilled_ = Now;
   double Burst = std::max(Rate_ * BurstSeconds, 1.0);
-  Tokens_ = std::min(Tokens_ + Rate_ * Elapsed, Burst);
+  BucketBytes_ = std::min(BucketBytes_ + Rate_ * Elapsed, Burst);
 }
 
 void OriginFake::tick() {
   refill(std::chrono::steady_clock::now());
-  // The reader at the front gets a piece and goes to the back, until none in a
-  // row can take one. So the next tick begins with the reader after the last
+  // Round-robin: the first transfer sends a chunk and moves to the end, until
+  // no transfer can send. The next tick starts with the transfer after the last
   // one served, however few bytes a tick has.
-  std::size_t Idle = 0;
-  while (Idle < Transfers_.size()) {
+  std::size_t Blocked = 0;
+  while (Blocked < Transfers_.size()) {
     auto Front = Transfers_.begin();
-    Idle = sendPiece(**Front) ? 0 : Idle + 1;
-    if (!(*Front)->Gone_) {
+    Blocked = sendChunk(**Front) ? 0 : Blocked + 1;
+    if (!(*Front)->Ended_) {
       Transfers_.splice(Transfers_.end(), Transfers_, Front);
       continue;
     }
     Transfers_.erase(Front);
-    Idle = 0;
+    Blocked = 0;
   }
   Ticking_ = !Transfers_.empty();
   if (Ticking_)
     Io_.after(Tick, [this] { tick(); });
 }
 
-// True when bytes were sent. Sets Gone_ when the answer has ended.
-bool OriginFake::sendPiece(Transfer &T) {
-  if (T.Gone_)
+// Returns true when bytes were sent. Sets Ended_ when the answer has ended.
+bool OriginFake::sendChunk(Transfer &T) {
+  if (T.Ended_)
     return false;
-  if (T.Left_ == 0) {
+  if (T.Remaining_ == 0) {
     T.Answer_->finish();
-    T.Gone_ = true;
+    T.Ended_ = true;
     return false;
   }
   if (T.CutIn_ && *T.CutIn_ == 0) {
     T.Answer_->abort();
-    T.Gone_ = true;
+    T.Ended_ = true;
     return false;
   }
-  std::uint64_t Size = std::min<std::uint64_t>(Piece, T.Left_);
+  std::uint64_t Size = std::min<std::uint64_t>(ChunkSize, T.Remaining_);
   if (T.CutIn_)
     Size = std::min(Size, *T.CutIn_);
   if (Rate_ > 0)
-    Size = std::min(Size, static_cast<std::uint64_t>(Tokens_));
+    Size = std::min(Size, static_cast<std::uint64_t>(BucketBytes_));
   if (Size == 0 || T.Answer_->backlog() >= MaxBacklog)
     return false;
-  std::string Bytes = readPiece(T, Size);
-  if (Bytes.empty()) { // the file was cut short under us
+  std::string Bytes = readChunk(T, Size);
+  if (Bytes.empty()) { // the file was truncated while it was served
     T.Answer_->abort();
-    T.Gone_ = true;
+    T.Ended_ = true;
     return false;
   }
   if (Rate_ > 0)
-    Tokens_ -= static_cast<double>(Bytes.size());
+    BucketBytes_ -= static_cast<double>(Bytes.size());
   Bytes_ += Bytes.size();
   BytesByPath_[T.Path_] += Bytes.size();
   T.Answer_->write(std::move(Bytes));
   return true;
 }
 
-std::string OriginFake::readPiece(Transfer &T, std::size_t Size) {
+std::string OriginFake::readChunk(Transfer &T, std::size_t Size) {
   std::string Bytes(Size, '\0');
   T.File_.read(Bytes.data(), static_cast<std::streamsize>(Size));
   Bytes.resize(static_cast<std::size_t>(T.File_.gcount()));
@@ -174,7 +175,7 @@
     *T.CorruptIn_ -= Bytes.size();
   if (T.CutIn_)
     *T.CutIn_ -= Bytes.size();
-  T.Left_ -= Bytes.size();
+  T.Remaining_ -= Bytes.size();
   return Bytes;
 }
 
--- a/fakes/OriginFake.h
+++ b/fakes/OriginFake.h
@@ -1,10 +1,10 @@
-// The origin of weights: files of one folder, by HTTP ranges, at a rate that
-// all answers together share.
+// Fake of the origin of weights: serves the files of one folder by HTTP range
+// requests, at a rate limit shared by all answers.
 //
-// The rate is a token bucket refilled on one tick. Each tick hands its bytes
-// to the open answers in turn, a piece at a time, so that many readers share
-// the link as they would share a real one, and no answer is held in memory:
-// an answer whose caller does not read gets no new piece.
+// The rate limit is a token bucket that one timer refills. Each tick
+// distributes its bytes round-robin among the open answers, one chunk at a
+// time, so that readers share the link evenly. Answers are not buffered whole:
+// an answer whose caller does not read gets no new chunk.
 
 #ifndef HAWTHORNROAD_FAKES_ORIGINFAKE_H
 #define HAWTHORNROAD_FAKES_ORIGINFAKE_H
@@ -23,7 +23,7 @@
 public:
   struct Options {
     std::filesystem::path Root_;
-    // Bytes a second of all answers together; 0 means no limit.
+    // Bytes per second of all answers together; 0 means no limit.
     double Rate_ = 0;
   };
 
@@ -34,24 +34,24 @@
   boost::json::object counters() const;
 
 private:
-  // One answer under way.
+  // One answer in progress.
   struct Transfer {
     ExchangePtr Answer_;
     std::string Path_;
     std::ifstream File_;
-    std::uint64_t Left_ = 0;
-    // Bytes still to send before the fault strikes; none when it will not.
+    std::uint64_t Remaining_ = 0;
+    // Bytes left to send before the fault applies; nullopt without a fault.
     std::optional<std::uint64_t> CorruptIn_;
     std::optional<std::uint64_t> CutIn_;
-    bool Gone_ = false;
+    bool Ended_ = false;
   };
 
   void begin(std::shared_ptr<Transfer> T, std::uint64_t Size,
              const std::optional<std::string> &Range);
   void tick();
   void refill(TimePoint Now);
-  bool sendPiece(Transfer &T);
-  std::string readPiece(Transfer &T, std::size_t Size);
+  bool sendChunk(Transfer &T);
+  std::string readChunk(Transfer &T, std::size_t Size);
 
   IoThread &Io_;
   Options Options_;
@@ -60,7 +60,7 @@
   std::int64_t TruncateEvery_ = 0;
   std::list<std::shared_ptr<Transfer>> Transfers_;
   bool Ticking_ = false;
-  double Tokens_ = 0;
+  double BucketBytes_ = 0;
   TimePoint Refilled_{};
   std::uint64_t Answers_ = 0;
   std::uint64_t Requests_ = 0;
--- a/fakes/PrefixCache.h
+++ b/fakes/PrefixCache.h
@@ -1,5 +1,5 @@
-// The leading blocks of recent prompts, least recently used dropped first: a
-// prompt whose leading block is here needs no prefill.
+// LRU cache of the leading blocks of prompts: a prompt whose leading block is
+// cached needs no prefill.
 
 #ifndef HAWTHORNROAD_FAKES_PREFIXCACHE_H
 #define HAWTHORNROAD_FAKES_PREFIXCACHE_H
@@ -14,22 +14,22 @@
 
 class PrefixCache {
 public:
-  // Bytes of a prompt that count as its leading block.
-  static constexpr std::size_t Block = 64;
+  // Size of the leading block of a prompt, in bytes.
+  static constexpr std::size_t BlockBytes = 64;
 
   explicit PrefixCache(std::size_t Capacity) : Capacity_(Capacity) {}
 
-  // Whether Prompt's block was kept; it is kept from now on.
+  // Returns whether the leading block of Prompt was cached, and caches it.
   bool use(std::string_view Prompt) {
-    std::string Key(Prompt.substr(0, Block));
-    auto Found = Places_.find(Key);
-    bool Hit = Found != Places_.end();
+    std::string Key(Prompt.substr(0, BlockBytes));
+    auto Found = Positions_.find(Key);
+    bool Hit = Found != Positions_.end();
     if (Hit)
       Order_.erase(Found->second);
     Order_.push_front(Key);
-    Places_[Key] = Order_.begin();
+    Positions_[Key] = Order_.begin();
     if (Order_.size() > Capacity_) {
-      Places_.erase(Order_.back());
+      Positions_.erase(Order_.back());
       Order_.pop_back();
     }
     ++(Hit ? Hits_ : Misses_);
@@ -38,7 +38,7 @@
 
   void clear() {
     Order_.clear();
-    Places_.clear();
+    Positions_.clear();
   }
   std::uint64_t hits() const { return Hits_; }
   std::uint64_t misses() const { return Misses_; }
@@ -46,7 +46,7 @@
 private:
   std::size_t Capacity_;
   std::list<std::string> Order_;
-  std::unordered_map<std::string, std::list<std::string>::iterator> Places_;
+  std::unordered_map<std::string, std::list<std::string>::iterator> Positions_;
   std::uint64_t Hits_ = 0;
   std::uint64_t Misses_ = 0;
 };
--- a/fakes/ProxyFake.cpp
+++ b/fakes/ProxyFake.cpp
@@ -26,16 +26,16 @@
 };
 
 namespace {
-FrameShare parseShare(const json::object &From) {
+FrameSelection parseSelection(const json::object &From) {
   Faults Values(From);
   return {.Share_ = Values.number("share", 0),
           .Seed_ = static_cast<std::uint64_t>(Values.integer("seed", 1))};
 }
 
-// Calls Apply(direction, fault) for each direction the fault names: one, or
-// both when it names none.
+// Calls Apply(direction, fault) for the direction that the fault names, or for
+// both directions when it names none.
 template <class Fn>
-void eachDirection(const Faults &Set, std::string_view Name, Fn Apply) {
+void forEachDirection(const Faults &Set, std::string_view Name, Fn Apply) {
   const json::object *Found = Set.object(Name);
   if (Found == nullptr)
     return;
@@ -65,22 +65,22 @@
   P.JitterSeed_ = static_cast<std::uint64_t>(Set.integer("jitter_seed", 1));
   P.Rate_ = Set.number("rate", 0);
   auto &Frames = P.Frames_;
-  eachDirection(Set, "cut_after_frames", [&](Direction D, const auto &F) {
+  forEachDirection(Set, "cut_after_frames", [&](Direction D, const auto &F) {
     Frames[D].CutAfterFrames_ =
         static_cast<std::uint64_t>(Faults(F).integer("frames", 0));
   });
-  eachDirection(Set, "cut_after_bytes", [&](Direction D, const auto &F) {
+  forEachDirection(Set, "cut_after_bytes", [&](Direction D, const auto &F) {
     Frames[D].CutAfterBytes_ =
         static_cast<std::uint64_t>(Faults(F).integer("bytes", 0));
   });
-  eachDirection(Set, "drop_frames", [&](Direction D, const auto &F) {
-    Frames[D].Drop_ = parseShare(F);
+  forEachDirection(Set, "drop_frames", [&](Direction D, const auto &F) {
+    Frames[D].Drop_ = parseSelection(F);
   });
-  eachDirection(Set, "duplicate_frames", [&](Direction D, const auto &F) {
-    Frames[D].Duplicate_ = parseShare(F);
+  forEachDirection(Set, "duplicate_frames", [&](Direction D, const auto &F) {
+    Frames[D].Duplicate_ = parseSelection(F);
   });
-  eachDirection(Set, "reorder_frames", [&](Direction D, const auto &F) {
-    Frames[D].Reorder_ = parseShare(F);
+  forEachDirection(Set, "reorder_frames", [&](Direction D, const auto &F) {
+    Frames[D].Reorder_ = parseSelection(F);
   });
   return P;
 }
@@ -88,7 +88,7 @@
 } // namespace
 
 asio::awaitable<void> ProxyFake::State::acceptLoop() {
-  auto Keep = shared_from_this();
+  auto Self = shared_from_this();
   for (;;) {
     boost::system::error_code Code;
     tcp::socket Socket = co_await Acceptor_->async_accept(
@@ -102,10 +102,10 @@
       resetSocket(Socket);
       continue;
     }
-    auto Made = std::make_shared<ProxySession>(Keep, std::move(Socket),
-                                               ++Totals_.Accepted_);
-    Sessions_.insert(Made);
-    Made->start();
+    auto Session = std::make_shared<ProxySession>(Self, std::move(Socket),
+                                                  ++Totals_.Accepted_);
+    Sessions_.insert(Session);
+    Session->start();
   }
 }
 
@@ -136,10 +136,10 @@
 }
 
 void ProxyFake::setFaults(const Faults &Set) {
-  PathFaults Wanted = parsePathFaults(Set);
-  if (Wanted.JitterSeed_ != State_->Faults_.JitterSeed_)
-    State_->Jitter_ = Random(Wanted.JitterSeed_);
-  State_->Faults_ = Wanted;
+  PathFaults NewFaults = parsePathFaults(Set);
+  if (NewFaults.JitterSeed_ != State_->Faults_.JitterSeed_)
+    State_->Jitter_ = Random(NewFaults.JitterSeed_);
+  State_->Faults_ = NewFaults;
   auto Open = State_->Sessions_;
   for (const auto &Each : Open) {
     if (Set.flag("silent_existing"))
--- a/fakes/ProxyFake.h
+++ b/fakes/ProxyFake.h
@@ -1,13 +1,13 @@
-// A TCP proxy that injects the faults of a network path between two processes:
-// silence, loss, delay, a slow link, cuts at a chosen frame.
+// A TCP proxy that injects network faults between two processes: silence, loss,
+// delay, limited bandwidth, and connection cuts at a chosen frame.
 //
 //   ProxyFake Proxy(Io, "127.0.0.1:7001");
 //   std::string Front = Proxy.listen("127.0.0.1:0");
 //   FakeServer Control(Io, Proxy);
 //
-// Each direction of a connection is a queue between two sockets: what was read
-// is written when its delay is over, in order. The queue is bounded, so a slow
-// or silent side is felt by the other through TCP itself.
+// Each direction of a connection is a queue between two sockets: data is
+// written in order once its delay has passed. The queue is bounded, so a slow
+// or silent side causes TCP back-pressure on the other.
 
 #ifndef HAWTHORNROAD_FAKES_PROXYFAKE_H
 #define HAWTHORNROAD_FAKES_PROXYFAKE_H
@@ -27,7 +27,7 @@
   ProxyFake(const ProxyFake &) = delete;
   ProxyFake &operator=(const ProxyFake &) = delete;
 
-  // Binds "IP:port" and returns the bound one. Throws Error(Step::Listen).
+  // Binds "IP:port" and returns the bound address. Throws Error(Step::Listen).
   std::string listen(const std::string &Address);
 
   void handle(const HttpRequest &R, const ExchangePtr &X);
--- a/fakes/ProxyPath.h
+++ b/fakes/ProxyPath.h
@@ -1,5 +1,5 @@
-// The path through a proxy that all its connections share: the faults now set,
-// the totals, and the link whose rate they divide.
+// State shared by all connections of a proxy: the active faults, the totals,
+// and the link whose bandwidth the connections share.
 
 #ifndef HAWTHORNROAD_FAKES_PROXYPATH_H
 #define HAWTHORNROAD_FAKES_PROXYPATH_H
@@ -18,19 +18,19 @@
 
 class ProxySession;
 
-// "Up" is from the connecting side to the target.
+// Up is from the connecting side to the target, Down the reverse.
 enum Direction : std::size_t { Up, Down, Directions };
 constexpr std::array<const char *, Directions> DirectionNames = {"up", "down"};
 
 struct PathFaults {
   bool Refuse_ = false;
   bool Blackhole_ = false;
-  // Zones whose processes reach nothing through here.
+  // Zones whose processes cannot reach anything through this proxy.
   std::set<std::string> BlackholeFrom_;
   Duration Delay_{};
   Duration Jitter_{};
   std::uint64_t JitterSeed_ = 1;
-  // Bytes a second of each direction; 0 means no limit.
+  // Bytes per second in each direction; 0 means no limit.
   double Rate_ = 0;
   std::array<FrameFaults, Directions> Frames_;
 };
@@ -51,8 +51,8 @@
   PathFaults Faults_;
   PathTotals Totals_;
   std::set<std::shared_ptr<ProxySession>> Sessions_;
-  // When the link of a direction has sent what was given to it so far.
-  std::array<TimePoint, Directions> LinkFree_{};
+  // When the link of each direction finishes the data scheduled so far.
+  std::array<TimePoint, Directions> LinkFreeAt_{};
   Random Jitter_{1};
 };
 
--- a/fakes/ProxySession.cpp
+++ b/fakes/ProxySession.cpp
@@ -18,17 +18,17 @@
 
 namespace {
 constexpr std::size_t ReadSize = 64 * 1024;
-// Bytes read but not yet written, for each direction of a connection.
-constexpr std::size_t MaxQueued = 4 * 1024 * 1024;
-// Largest write when a rate is set, so that connections share it evenly.
-constexpr std::size_t ShapedWrite = 16 * 1024;
-// How often a connection that may not pass looks whether it may again.
-constexpr Duration Recheck = Milliseconds(2);
-// Between the last bytes of a cut connection and its reset: a receiver that
-// meets the reset while it writes never reads what came before.
-constexpr Duration CutAfter = Milliseconds(20);
+// Limit of bytes read but not yet written, per direction of a connection.
+constexpr std::size_t MaxQueuedBytes = 4 * 1024 * 1024;
+// Largest write under a rate limit, so that connections share it evenly.
+constexpr std::size_t MaxRateLimitedWrite = 16 * 1024;
+// How often a blocked connection checks whether it may continue.
+constexpr Duration PollInterval = Milliseconds(2);
+// Delay between the last bytes of a cut connection and its reset. A receiver
+// that gets the reset while it writes never reads the bytes before it.
+constexpr Duration ResetDelay = Milliseconds(20);
 constexpr std::size_t LengthBytes = 4;
-// A Hello is far smaller; longer first frames come from no process of ours.
+// A Hello is far smaller; a longer first frame is not a Hello.
 constexpr std::size_t MaxHello = 4096;
 
 TimePoint now() { return std::chrono::steady_clock::now(); }
@@ -38,7 +38,7 @@
       reinterpret_cast<const unsigned char *>(Bytes.data()));
 }
 
-// The zone in a Hello frame; empty when the bytes are something else.
+// The zone in a Hello frame; empty when the bytes are not a Hello.
 std::string zoneOfHello(std::string_view Bytes) {
   const auto *Data = reinterpret_cast<const std::uint8_t *>(Bytes.data());
   flatbuffers::Verifier Verifier(Data, Bytes.size());
@@ -76,7 +76,7 @@
   ++Path_->Totals_.Resets_;
   for (Socket &Each : Sockets_)
     resetSocket(Each);
-  forget();
+  unregister();
 }
 
 asio::awaitable<void> ProxySession::waitUntil(TimePoint When) {
@@ -89,28 +89,28 @@
   const PathFaults &Faults = Path_->Faults_;
   if (Faults.Blackhole_)
     return true;
-  // Until the caller has said where it is, nothing may pass back to it.
+  // Nothing is sent back to the caller until its zone is known.
   if (!Faults.BlackholeFrom_.empty() && !CallerZone_)
     return true;
   return CallerZone_ && Faults.BlackholeFrom_.contains(*CallerZone_);
 }
 
-asio::awaitable<void> ProxySession::waitToPass() {
-  while (isBlackholed() && !isOver())
-    co_await waitUntil(now() + Recheck);
+asio::awaitable<void> ProxySession::waitWhileBlackholed() {
+  while (isBlackholed() && !isStopped())
+    co_await waitUntil(now() + PollInterval);
 }
 
 asio::awaitable<void> ProxySession::run() {
   auto Self = shared_from_this();
-  while (Path_->Faults_.Blackhole_ && !isOver())
-    co_await waitUntil(now() + Recheck);
-  if (isOver())
+  while (Path_->Faults_.Blackhole_ && !isStopped())
+    co_await waitUntil(now() + PollInterval);
+  if (isStopped())
     co_return;
   boost::system::error_code Code = asio::error::not_connected;
   if (Path_->Target_)
     co_await Sockets_[1].async_connect(
         *Path_->Target_, asio::redirect_error(asio::use_awaitable, Code));
-  if (isOver())
+  if (isStopped())
     co_return;
   if (Code)
     co_return resetBoth();
@@ -129,44 +129,45 @@
 asio::awaitable<void> ProxySession::readLoop(Direction D) {
   auto Self = shared_from_this();
   std::vector<char> Buffer(ReadSize);
-  while (!isOver()) {
+  while (!isStopped()) {
     boost::system::error_code Code;
     std::size_t Got = co_await source(D).async_read_some(
         asio::buffer(Buffer), asio::redirect_error(asio::use_awaitable, Code));
-    // A connection that fell silent meanwhile loses what was on its way.
-    if (isOver())
+    // Bytes that arrive after the connection was silenced are dropped.
+    if (isStopped())
       co_return;
     if (Code) {
       bool Ended = Code == asio::error::eof;
-      push(D, {.Kind_ = Ended ? Parcel::Kind::End : Parcel::Kind::Reset});
+      enqueue(D,
+              {.Kind_ = Ended ? QueueItem::Kind::End : QueueItem::Kind::Reset});
       co_return;
     }
-    if (!take(D, {Buffer.data(), Got}))
+    if (!processInput(D, {Buffer.data(), Got}))
       co_return;
-    while (Flows_[D].Queued_ > MaxQueued && !isOver())
-      co_await waitUntil(now() + Recheck);
+    while (Flows_[D].QueuedBytes_ > MaxQueuedBytes && !isStopped())
+      co_await waitUntil(now() + PollInterval);
   }
 }
 
-// False when a fault cuts the connection after these bytes.
-bool ProxySession::take(Direction D, std::string_view Bytes) {
+// Returns false when a fault cuts the connection after these bytes.
+bool ProxySession::processInput(Direction D, std::string_view Bytes) {
   if (D == Up)
-    learnZone(Bytes);
+    readCallerZone(Bytes);
   FrameFilter &Filter = Flows_[D].Filter_;
   std::uint64_t FramesBefore = Filter.frames();
   auto Out = Filter.pass(Bytes, Path_->Faults_.Frames_[D]);
   Path_->Totals_.Bytes_[D] += Bytes.size();
   Path_->Totals_.Frames_[D] += Filter.frames() - FramesBefore;
   if (!Out.Bytes_.empty())
-    push(D, {.Bytes_ = std::move(Out.Bytes_)});
+    enqueue(D, {.Bytes_ = std::move(Out.Bytes_)});
   if (Out.Cut_) {
-    Flows_[D].LastDue_ = std::max(Flows_[D].LastDue_, now()) + CutAfter;
-    push(D, {.Kind_ = Parcel::Kind::Reset});
+    Flows_[D].LastDueAt_ = std::max(Flows_[D].LastDueAt_, now()) + ResetDelay;
+    enqueue(D, {.Kind_ = QueueItem::Kind::Reset});
   }
   return !Out.Cut_;
 }
 
-void ProxySession::learnZone(std::string_view Bytes) {
+void ProxySession::readCallerZone(std::string_view Bytes) {
   if (CallerZone_)
     return;
   FirstBytes_ += Bytes;
@@ -183,22 +184,22 @@
   FirstBytes_.clear();
 }
 
-void ProxySession::push(Direction D, Parcel P) {
+void ProxySession::enqueue(Direction D, QueueItem Item) {
   Flow &F = Flows_[D];
   const PathFaults &Faults = Path_->Faults_;
   auto Jitter = std::chrono::duration_cast<Duration>(Faults.Jitter_ *
                                                      Path_->Jitter_.unit());
-  F.LastDue_ = std::max(F.LastDue_, now() + Faults.Delay_ + Jitter);
-  P.Due_ = F.LastDue_;
-  F.Queued_ += P.Bytes_.size();
-  F.Queue_.push_back(std::move(P));
+  F.LastDueAt_ = std::max(F.LastDueAt_, now() + Faults.Delay_ + Jitter);
+  Item.DueAt_ = F.LastDueAt_;
+  F.QueuedBytes_ += Item.Bytes_.size();
+  F.Queue_.push_back(std::move(Item));
   Wake_[D].cancel();
 }
 
 asio::awaitable<void> ProxySession::writeLoop(Direction D) {
   auto Self = shared_from_this();
   Flow &F = Flows_[D];
-  while (!isOver()) {
+  while (!isStopped()) {
     if (F.Queue_.empty()) {
       boost::system::error_code Ignored;
       Wake_[D].expires_at(TimePoint::max());
@@ -206,20 +207,20 @@
           asio::redirect_error(asio::use_awaitable, Ignored));
       continue;
     }
-    Parcel P = std::move(F.Queue_.front());
+    QueueItem Item = std::move(F.Queue_.front());
     F.Queue_.pop_front();
-    if (P.Due_ > now())
-      co_await waitUntil(P.Due_);
-    co_await waitToPass();
-    if (isOver())
+    if (Item.DueAt_ > now())
+      co_await waitUntil(Item.DueAt_);
+    co_await waitWhileBlackholed();
+    if (isStopped())
       co_return;
-    if (P.Kind_ == Parcel::Kind::Reset)
+    if (Item.Kind_ == QueueItem::Kind::Reset)
       co_return resetBoth();
-    if (P.Kind_ == Parcel::Kind::End)
+    if (Item.Kind_ == QueueItem::Kind::End)
       co_return endFlow(D);
-    if (!co_await writeAll(D, P.Bytes_))
+    if (!co_await writeAll(D, Item.Bytes_))
       co_return;
-    F.Queued_ -= P.Bytes_.size();
+    F.QueuedBytes_ -= Item.Bytes_.size();
   }
 }
 
@@ -228,20 +229,20 @@
   while (!Bytes.empty()) {
     std::string_view Part = Bytes;
     if (Path_->Faults_.Rate_ > 0) {
-      Part = Bytes.substr(0, ShapedWrite);
+      Part = Bytes.substr(0, MaxRateLimitedWrite);
       co_await waitForLink(D, Part.size());
     }
-    co_await waitToPass();
+    co_await waitWhileBlackholed();
     boost::system::error_code Code;
-    if (!isOver())
+    if (!isStopped())
       co_await asio::async_write(
           sink(D), asio::buffer(Part.data(), Part.size()),
           asio::redirect_error(asio::use_awaitable, Code));
-    if (isOver())
+    if (isStopped())
       co_return false;
     if (Code) {
-      co_await waitToPass();
-      if (!isOver())
+      co_await waitWhileBlackholed();
+      if (!isStopped())
         resetBoth();
       co_return false;
     }
@@ -250,10 +251,11 @@
   co_return true;
 }
 
-// Books Bytes on the link that all connections of a direction share.
+// Reserves Bytes on the link shared by all connections of a direction and
+// waits until they are sent.
 asio::awaitable<void> ProxySession::waitForLink(Direction D,
                                                 std::size_t Bytes) {
-  TimePoint &Free = Path_->LinkFree_[D];
+  TimePoint &Free = Path_->LinkFreeAt_[D];
   double Seconds = static_cast<double>(Bytes) / Path_->Faults_.Rate_;
   Free = std::max(Free, now()) + std::chrono::duration_cast<Duration>(
                                      std::chrono::duration<double>(Seconds));
@@ -268,10 +270,10 @@
     return;
   for (Socket &Each : Sockets_)
     Each.close(Ignored);
-  forget();
+  unregister();
 }
 
-void ProxySession::forget() {
+void ProxySession::unregister() {
   Closed_ = true;
   for (asio::steady_timer &Each : Wake_)
     Each.cancel();
--- a/fakes/ServiceFake.cpp
+++ b/fakes/ServiceFake.cpp
@@ -6,7 +6,7 @@
   if (FailRequests_)
     return respondError(X, 500, "failed by a fault before it ran");
   std::uint64_t Run = countRun(R);
-  if (DieDuring_)
+  if (AbortDuringCall_)
     return Io_.after(Work_ / 2, [X] { X->abort(); });
   boost::json::object Body = {{"service", Options_.Name_},
                               {"method", R.Method_},
@@ -21,7 +21,7 @@
   auto Key = findHeader(R.Headers_, "Idempotency-Key");
   if (!Key)
     Key = findHeader(R.Headers_, "Test-Run");
-  return Key ? ++Runs_[*Key] : Total_;
+  return Key ? ++RunsByKey_[*Key] : Total_;
 }
 
 void ServiceFake::setFaults(const Faults &Set) {
@@ -29,12 +29,12 @@
       "work_ms",
       std::chrono::duration_cast<Milliseconds>(Options_.Work_).count()));
   FailRequests_ = Set.flag("fail_requests");
-  DieDuring_ = Set.flag("die_during");
+  AbortDuringCall_ = Set.flag("die_during");
 }
 
 boost::json::object ServiceFake::counters() const {
   boost::json::object Runs;
-  for (const auto &[Key, Count] : Runs_)
+  for (const auto &[Key, Count] : RunsByKey_)
     Runs[Key] = Count;
   return {{"runs", std::move(Runs)}, {"total", Total_}};
 }
--- a/fakes/ServiceFake.h
+++ b/fakes/ServiceFake.h
@@ -1,5 +1,6 @@
-// A plain service: takes any call, works for a while, and counts each run by
-// its idempotency key, so that a test sees a call that ran twice.
+// Fake of a plain service: accepts any call, takes a configured time, and
+// counts runs per idempotency key, so that a test detects a call that ran
+// twice.
 
 #ifndef HAWTHORNROAD_FAKES_SERVICEFAKE_H
 #define HAWTHORNROAD_FAKES_SERVICEFAKE_H
@@ -30,8 +31,8 @@
   Options Options_;
   Duration Work_ = Options_.Work_;
   bool FailRequests_ = false;
-  bool DieDuring_ = false;
-  std::map<std::string, std::uint64_t> Runs_;
+  bool AbortDuringCall_ = false;
+  std::map<std::string, std::uint64_t> RunsByKey_;
   std::uint64_t Total_ = 0;
 };
 
--- a/fakes/StoreFake.cpp
+++ b/fakes/StoreFake.cpp
@@ -15,7 +15,7 @@
 
 TimePoint now() { return std::chrono::steady_clock::now(); }
 
-// Whether a write's conditions hold; Current is null for an absent key.
+// Whether the conditions of a write hold; Current is null for an absent key.
 bool conditionsHold(const HttpRequest &R, const std::uint64_t *Current) {
   auto Match = findHeader(R.Headers_, "If-Match");
   auto NoneMatch = findHeader(R.Headers_, "If-None-Match");
@@ -29,14 +29,14 @@
 
 StoreFake::StoreFake(Kind K)
     : Prefix_(K == Kind::Table ? "/table" : "/objects"),
-      Lists_(K == Kind::Table) {}
+      CanList_(K == Kind::Table) {}
 
 void StoreFake::handle(const HttpRequest &R, const ExchangePtr &X) {
   std::string_view Path = targetPath(R.Target_);
   if (!Path.starts_with(Prefix_))
     return respondError(X, 404, "no such path");
   std::string_view Rest = Path.substr(Prefix_.size());
-  if (Lists_ && R.Method_ == "GET" && Rest.empty())
+  if (CanList_ && R.Method_ == "GET" && Rest.empty())
     return list(R, X);
   if (Rest.size() < 2 || Rest.front() != '/')
     return respondError(X, 404, "no key");
@@ -108,8 +108,8 @@
 }
 
 void StoreFake::answerWrite(const std::string &Key, const ExchangePtr &X) {
-  if (LoseAnswers_ > 0) {
-    --LoseAnswers_;
+  if (AnswersToLose_ > 0) {
+    --AnswersToLose_;
     return X->abort();
   }
   HttpHeaders Headers;
@@ -124,7 +124,7 @@
 }
 
 void StoreFake::setFaults(const Faults &Set) {
-  LoseAnswers_ = Set.integer("lose_answers", 0);
+  AnswersToLose_ = Set.integer("lose_answers", 0);
   if (!Set.flag("stale_reads"))
     Stale_.reset();
   else if (!Stale_)
--- a/fakes/StoreFake.h
+++ b/fakes/StoreFake.h
@@ -1,10 +1,12 @@
-// The platform's transactional table and its object store: keys with entity
-// tags and HTTP conditional writes (RFC 9110). The two differ in their path
-// and in that the table lists its keys; docs/STANDINS.md has the calls.
+// Fake of the platform's transactional table and of its object store: keys with
+// entity tags and HTTP conditional writes (RFC 9110). The two differ in their
+// path, and only the table lists its keys; docs/STANDINS.md describes the
+// calls.
 //
-// Fault "lose_answers": N writes take effect and then lose their answer, which
-// a client cannot tell from a write that never arrived. Fault "stale_reads":
-// reads see the moment the fault was set, as from a replica that lags.
+// Fault "lose_answers": N writes take effect but their answers are lost, which
+// a client cannot distinguish from writes that never arrived. Fault
+// "stale_reads": reads return the state at the time the fault was set, as from
+// a lagging replica.
 
 #ifndef HAWTHORNROAD_FAKES_STOREFAKE_H
 #define HAWTHORNROAD_FAKES_STOREFAKE_H
@@ -30,7 +32,7 @@
 private:
   struct Entry {
     std::string Value_;
-    // Rises with every write of the store, so no tag is ever used twice.
+    // Increases with every write of the store, so that no tag is reused.
     std::uint64_t Tag_ = 0;
   };
   using Entries = std::map<std::string, Entry>;
@@ -44,11 +46,11 @@
   const Entries &readable() const;
 
   std::string Prefix_;
-  bool Lists_;
+  bool CanList_;
   Entries Entries_;
   std::optional<Entries> Stale_;
   std::uint64_t LastTag_ = 0;
-  std::int64_t LoseAnswers_ = 0;
+  std::int64_t AnswersToLose_ = 0;
   std::uint64_t Conflicts_ = 0;
   PeakRate Reads_;
   PeakRate Writes_;
--- a/tests/integration/Fakes.h
+++ b/tests/integration/Fakes.h
@@ -1,4 +1,4 @@
-// Stand-ins and proxies as processes of a test.
+// Runs fakes and fault-injecting proxies as child processes of a test.
 
 #ifndef HAWTHORNROAD_TESTS_INTEGRATION_FAKES_H
 #define HAWTHORNROAD_TESTS_INTEGRATION_FAKES_H
@@ -16,7 +16,7 @@
   Fake(TemporaryFolder &Folder, const std::string &Kind,
        const std::vector<std::string> &Options = {});
 
-  // "IP:port" it serves on.
+  // The "IP:port" that it serves on.
   const std::string &address() const { return Address_; }
   // Replaces all faults; "{}" clears them.
   void setFaults(const std::string &JsonText) const;
@@ -28,12 +28,12 @@
   std::string Address_;
 };
 
-// A fault-injecting proxy before one listener.
+// A fault-injecting proxy in front of one listener.
 class Proxy {
 public:
   Proxy(TemporaryFolder &Folder, const std::string &Target);
 
-  // What callers connect to in place of the target.
+  // The address that callers connect to instead of the target.
   const std::string &address() const { return Address_; }
   void setTarget(const std::string &Target) const;
   void setFaults(const std::string &JsonText) const;
--- a/tests/integration/FakesTest.cpp
+++ b/tests/integration/FakesTest.cpp
@@ -75,7 +75,7 @@
 }
 
 TEST_CASE_METHOD(FakesFixture,
-                 "table, deleted key written anew, gets a tag never used",
+                 "table, deleted key written again, gets an unused tag",
                  "[fakes]") {
   std::string Table = fake("table").address();
   HttpResponse First = fetch(Table, put("/table/k", "1"));
@@ -108,7 +108,7 @@
 }
 
 TEST_CASE_METHOD(FakesFixture,
-                 "table, told to lose an answer, has written and says nothing",
+                 "table, told to lose an answer, writes but does not answer",
                  "[fakes]") {
   Fake &Table = fake("table");
   Table.setFaults(R"({"lose_answers":1})");
@@ -123,8 +123,8 @@
 }
 
 TEST_CASE_METHOD(FakesFixture,
-                 "table, with stale reads, answers from the moment they were "
-                 "set but writes onto the truth",
+                 "table, with stale reads, answers with the state when they "
+                 "were set but writes to the current state",
                  "[fakes]") {
   Fake &Table = fake("table");
   HttpResponse Old = fetch(Table.address(), put("/table/k", "old"));
@@ -137,8 +137,7 @@
   REQUIRE(get(Table.address(), "/table/k").Body_ == "new");
 }
 
-TEST_CASE_METHOD(FakesFixture,
-                 "any stand-in, down or silent, still takes faults",
+TEST_CASE_METHOD(FakesFixture, "any fake, down or silent, still accepts faults",
                  "[fakes]") {
   Fake &Objects = fake("objects");
   Objects.setFaults(R"({"down":true})");
@@ -185,13 +184,14 @@
   StreamCall One(Origin.address(), {.Target_ = "/w.bin"});
   StreamCall Two(Origin.address(), {.Target_ = "/w.bin"});
   auto Got = [](const StreamCall &Call) { return Call.sofar().Body_.size(); };
-  eventually([&] { return Got(One) + Got(Two) > 400'000; }, "bytes flow");
+  eventually([&] { return Got(One) + Got(Two) > 400'000; },
+             "both readers receive bytes");
   REQUIRE(Got(One) > 100'000);
   REQUIRE(Got(Two) > 100'000);
   auto Sent = static_cast<double>(numberAt(Origin.counters(), "bytes"));
   std::chrono::duration<double> Elapsed =
       std::chrono::steady_clock::now() - Begin;
-  // An upper bound only: a busy machine makes it easier to keep. The burst is
+  // Checks only an upper bound, which a busy machine cannot break. The burst is
   // 20 ms of the rate.
   REQUIRE(Sent <= 1'000'000 * (Elapsed.count() + 0.02));
 }
@@ -216,7 +216,8 @@
 }
 
 TEST_CASE_METHOD(FakesFixture,
-                 "members, with a lag, first show the list before", "[fakes]") {
+                 "members, with a lag, first return the previous list",
+                 "[fakes]") {
   Fake &Members = fake("members", {"--lag-ms", "300"});
   putJson(Members.address(), "/members",
           {{"vms", boost::json::parse(R"([{"vm":"a"}])")}});
@@ -226,7 +227,7 @@
         return get(Members.address(), "/members").Body_ ==
                R"({"vms":[{"vm":"a"}]})";
       },
-      "the list shows");
+      "the new list is returned");
 }
 
 TEST_CASE_METHOD(EngineFixture,
@@ -275,11 +276,12 @@
           return numberAt(getJson(Engine.address(), "/load"), "waiting") ==
                  Count;
         },
-        "requests wait");
+        "the requests are waiting");
   };
   StreamCall Running(Engine.address(),
                      request("long", 100'000, {{"Engine-Request", "r"}}));
-  eventually([&] { return !Running.sofar().Events_.empty(); }, "it runs");
+  eventually([&] { return !Running.sofar().Events_.empty(); },
+             "the request runs");
   StreamCall Batch(
       Engine.address(),
       request("x", 2, {{"Engine-Request", "b"}, {"Engine-Priority", "2"}}));
--- a/tests/integration/ProxyTest.cpp
+++ b/tests/integration/ProxyTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 // A sender and a receiver of numbered frames with a proxy between them. The
-// limits let nothing time out: what arrives or not is the proxy's doing.
+// limits prevent time-outs, so that only the proxy decides what arrives.
 struct FramesFixture : FakesFixture {
   FramesFixture() {
     std::uint16_t Port = Receiver_.listen("127.0.0.1", 0);
@@ -33,18 +33,18 @@
     REQUIRE(Queued);
   }
 
-  void note(const wire::Frame &F) {
+  void recordFrame(const wire::Frame &F) {
     std::lock_guard Guard(Lock_);
     if (F.body_type() == wire::Body::ConfigPull)
-      Got_.push_back(F.body_as_ConfigPull()->after());
+      Received_.push_back(F.body_as_ConfigPull()->after());
   }
 
-  std::vector<Revision> got() {
+  std::vector<Revision> received() {
     std::lock_guard Guard(Lock_);
-    return Got_;
+    return Received_;
   }
 
-  void noteLost() {
+  void countLost() {
     std::lock_guard Guard(Lock_);
     ++Lost_;
   }
@@ -57,21 +57,23 @@
   std::int64_t passedUp() { return numberAt(Proxy_->counters(), "frames_up"); }
 
   std::mutex Lock_;
-  std::vector<Revision> Got_;
+  std::vector<Revision> Received_;
   int Lost_ = 0;
   Proxy *Proxy_ = nullptr;
   IoThread Io_{"frames", 1024};
-  PeerNet Receiver_{Io_,
-                    {.Process_ = ProcessName("receiver")},
-                    limits(),
-                    {.OnFrame_ = [this](const PeerContext &,
-                                        const wire::Frame &F) { note(F); }}};
+  PeerNet Receiver_{
+      Io_,
+      {.Process_ = ProcessName("receiver")},
+      limits(),
+      {.OnFrame_ = [this](const PeerContext &, const wire::Frame &F) {
+        recordFrame(F);
+      }}};
   PeerNet Sender_{
       Io_,
       {.Process_ = ProcessName("sender"), .Zone_ = AvailabilityZone("a")},
       limits(),
       {.OnFrame_ = [](const PeerContext &, const wire::Frame &) {},
-       .OnLost_ = [this](const PeerContext &, const Error &) { noteLost(); }}};
+       .OnLost_ = [this](const PeerContext &, const Error &) { countLost(); }}};
 };
 
 using Numbers = std::vector<Revision>;
@@ -82,13 +84,15 @@
     "proxy, told to silence open connections, passes new ones only",
     "[fakes]") {
   send(1);
-  eventually([&] { return got() == Numbers{1}; }, "the first frame is there");
+  eventually([&] { return received() == Numbers{1}; },
+             "the first frame has arrived");
   Proxy_->setFaults(R"({"silent_existing":true})");
   Proxy_->setFaults("{}");
   send(2);
   send(3, true);
-  eventually([&] { return got().size() == 2; }, "the fresh frame is there");
-  REQUIRE(got() == Numbers{1, 3});
+  eventually([&] { return received().size() == 2; },
+             "the frame of the new connection has arrived");
+  REQUIRE(received() == Numbers{1, 3});
   REQUIRE(numberAt(Proxy_->counters(), "accepted") == 2);
 }
 
@@ -96,27 +100,35 @@
                  "proxy, told to cut after frames, passes exactly so many",
                  "[fakes]") {
   send(1);
-  eventually([&] { return got() == Numbers{1}; }, "the connection stands");
-  // The sender's Hello was the first frame.
+  eventually([&] { return received() == Numbers{1}; },
+             "the connection is open");
+  // The first frame was the Hello of the sender.
   Proxy_->setFaults(R"({"cut_after_frames":{"direction":"up","frames":4}})");
   for (Revision Number : {2, 3, 4, 5})
     send(Number);
   eventually([&] { return lost() == 1; }, "the connection is reset");
-  eventually([&] { return got().size() >= 3; }, "what passed is there");
-  REQUIRE(got() == Numbers{1, 2, 3});
+  eventually([&] { return received().size() >= 3; },
+             "the frames before the cut have arrived");
+  REQUIRE(received() == Numbers{1, 2, 3});
 }
 
-TEST_CASE_METHOD(FramesFixture,
-                 "proxy, told to double or swap frames, does so to whole ones",
-                 "[fakes]") {
+TEST_CASE_METHOD(
+    FramesFixture,
+    "proxy, told to duplicate or swap frames, acts on whole frames",
+    "[fakes]") {
   Proxy_->setFaults(R"({"duplicate_frames":{"share":1,"direction":"up"}})");
   send(1);
-  eventually([&] { return got() == Numbers{1, 1}; }, "it came twice");
+  eventually(
+      [&] {
+        return received() == Numbers{1, 1};
+      },
+      "the frame has arrived twice");
   Proxy_->setFaults(R"({"reorder_frames":{"share":1,"direction":"up"}})");
   send(2);
   send(3);
-  eventually([&] { return got().size() == 4; }, "both are there");
-  REQUIRE(got() == Numbers{1, 1, 3, 2});
+  eventually([&] { return received().size() == 4; },
+             "both frames have arrived");
+  REQUIRE(received() == Numbers{1, 1, 3, 2});
 }
 
 TEST_CASE_METHOD(FramesFixture,
@@ -130,29 +142,35 @@
     send(Number);
   eventually([&] { return passedUp() == Count + 1; },
              "the proxy has seen all frames");
-  // A last frame that is not dropped shows that none is under way.
+  // A last frame that is not dropped shows that no frame is still in transit.
   Proxy_->setFaults("{}");
   send(Count + 1);
-  eventually([&] { return !got().empty() && got().back() == Count + 1; },
-             "the last frame is there");
-  Numbers Passed = got();
+  eventually(
+      [&] { return !received().empty() && received().back() == Count + 1; },
+      "the last frame has arrived");
+  Numbers Passed = received();
   REQUIRE(std::is_sorted(Passed.begin(), Passed.end()));
   REQUIRE(Passed.size() > Count / 4);
   REQUIRE(Passed.size() < Count * 3 / 4);
 }
 
 TEST_CASE_METHOD(FramesFixture,
-                 "proxy, black hole lifted, passes what had waited",
+                 "proxy, black hole removed, passes the delayed frames",
                  "[fakes]") {
   send(1);
-  eventually([&] { return got() == Numbers{1}; }, "the first frame is there");
+  eventually([&] { return received() == Numbers{1}; },
+             "the first frame has arrived");
   Proxy_->setFaults(R"({"blackhole":true})");
   send(2);
   eventually([&] { return passedUp() == 3; }, "the proxy has read the frame");
-  REQUIRE(got() == Numbers{1});
+  REQUIRE(received() == Numbers{1});
   REQUIRE(lost() == 0);
   Proxy_->setFaults("{}");
-  eventually([&] { return got() == Numbers{1, 2}; }, "the frame is there");
+  eventually(
+      [&] {
+        return received() == Numbers{1, 2};
+      },
+      "the frame has arrived");
 }
 
 TEST_CASE_METHOD(FramesFixture,
@@ -161,14 +179,18 @@
                  "[fakes]") {
   Proxy_->setFaults(R"({"blackhole_from":{"zones":["b"]}})");
   send(1);
-  eventually([&] { return got() == Numbers{1}; },
+  eventually([&] { return received() == Numbers{1}; },
              "another zone's frame passes");
   Proxy_->setFaults(R"({"blackhole_from":{"zones":["a"]}})");
   send(2);
   eventually([&] { return passedUp() == 3; }, "the proxy has read the frame");
-  REQUIRE(got() == Numbers{1});
+  REQUIRE(received() == Numbers{1});
   Proxy_->setFaults("{}");
-  eventually([&] { return got() == Numbers{1, 2}; }, "the frame is there");
+  eventually(
+      [&] {
+        return received() == Numbers{1, 2};
+      },
+      "the frame has arrived");
 }
 
 TEST_CASE_METHOD(FakesFixture,
