--- a/tests/integration/AtMostOnceTest.cpp
+++ b/tests/integration/AtMostOnceTest.cpp
@@ -32,7 +32,7 @@
 
 TEST_CASE("invoice, sent and repeated at another entry, runs once and is "
           "answered alike") {
-  auto F = desks(twoZones("1"));
+  auto F = buildPlainFleet(twoZones("1"));
   HttpResponse First = invoice(F->entry(0), "k");
   INFO(First.Body_);
   REQUIRE(outcome(First) == "answered");
@@ -50,13 +50,13 @@
           "runs once") {
   // The call in progress bills the client; run again elsewhere it would bill
   // twice. The agent dies and the service goes on, so the outcome is unknown.
-  auto F = desks(twoZones("3000"));
+  auto F = buildPlainFleet(twoZones("3000"));
   auto Answer = invoiceLater(F->entry(0), "k", 20000);
   FleetProcess &Agent = agentThatRuns(*F, "k");
   F->kill(Agent);
   HttpResponse R = Answer.get();
   REQUIRE(outcome(R) == "unknown");
-  requireTruth(*F, "k", R);
+  requireConsistentOutcome(*F, "k", R);
   // Both entries report the same outcome, before and after a replacement.
   eventually([&] { return outcome(invoice(F->entry(1), "k")) == "unknown"; },
              "the claim says unknown");
@@ -67,7 +67,7 @@
 
 TEST_CASE("invoice, its agent killed before or after the run, gets "
           "the true outcome") {
-  auto F = desks(twoZones("1"));
+  auto F = buildPlainFleet(twoZones("1"));
   HttpResponse Before = invoice(F->entry(0), "answered");
   REQUIRE(outcome(Before) == "answered");
   for (FleetProcess &Each : F->agents())
@@ -79,14 +79,14 @@
   HttpResponse Refused = invoice(F->entry(0), "refused");
   REQUIRE(outcome(Refused) == "not-run");
   REQUIRE(findHeader(Refused.Headers_, "Retry-After").has_value());
-  requireTruth(*F, "refused", Refused);
+  requireConsistentOutcome(*F, "refused", Refused);
 }
 
 TEST_CASE("invoice, its entry killed and the key repeated at another, runs "
           "once") {
   // The caller's connection breaks during the call; it repeats the key at
   // another entry, which cannot know what the dead one did.
-  auto F = desks(twoZones("1500"));
+  auto F = buildPlainFleet(twoZones("1500"));
   auto Lost = invoiceLater(F->entry(0), "k", 3000);
   agentThatRuns(*F, "k");
   F->kill(F->entry(0));
@@ -106,7 +106,7 @@
   // Entry 0 is frozen while its claim is being written. Its caller gives up and
   // repeats the key elsewhere. Long past the deadline entry 0 resumes and finds
   // that it holds the claim: a dispatch would bill a call nobody waits for.
-  auto F = desks(twoZones("1"));
+  auto F = buildPlainFleet(twoZones("1"));
   F->table().setFaults(R"({"delay_ms":900})");
   std::int64_t Writes = numberAt(F->table().counters(), "writes");
   auto Frozen = invoiceLater(F->entry(0), "k", 2000);
@@ -137,7 +137,7 @@
 
 TEST_CASE("invoice, the table's answer to its claim lost, is answered and runs "
           "once") {
-  auto F = desks(twoZones("1"));
+  auto F = buildPlainFleet(twoZones("1"));
   F->table().setFaults(R"({"lose_answers":2})");
   HttpResponse R = invoice(F->entry(0), "k");
   INFO(R.Body_);
@@ -150,7 +150,7 @@
 TEST_CASE("invoice, with the table out, is refused at once and runs once "
           "afterwards") {
   auto Fault = GENERATE(R"({"down":true})", R"({"silent":true})");
-  auto F = desks(twoZones("1"));
+  auto F = buildPlainFleet(twoZones("1"));
   F->table().setFaults(Fault);
   for (int I = 0; I < 6; ++I) {
     HttpResponse R = invoice(F->entry(0), "k");
@@ -172,7 +172,7 @@
 }
 
 TEST_CASE("invoices, of one key at two entries at the same moment, run once") {
-  auto F = desks(twoZones("20"));
+  auto F = buildPlainFleet(twoZones("20"));
   for (int I = 0; I < 20; ++I) {
     std::string Key = "k" + std::to_string(I);
     auto One = invoiceLater(F->entry(0), Key);
@@ -190,7 +190,7 @@
   // The connection breaks between two frames, in either direction; the call may
   // just have run. No answer may contradict the counters of the service.
   auto Direction = GENERATE(as<std::string>{}, "up", "down");
-  auto F = desks(twoZones("5").withProxies());
+  auto F = buildPlainFleet(twoZones("5").withProxies());
   std::map<std::string, int> Outcomes;
   for (int Frames = 1; Frames <= 6; ++Frames) {
     for (FleetProcess &Each : F->agents())
@@ -202,7 +202,7 @@
     HttpResponse R = invoice(F->entry(0), Key, 5000);
     for (FleetProcess &Each : F->agents())
       Each.PeerProxy_->setFaults("{}");
-    requireTruth(*F, Key, R);
+    requireConsistentOutcome(*F, Key, R);
     ++Outcomes[outcome(R)];
     CHECK_FALSE(outcome(R).empty());
   }
--- a/tests/integration/BadInputTest.cpp
+++ b/tests/integration/BadInputTest.cpp
@@ -54,7 +54,7 @@
        "Hawthornroad-Customer: nobody-we-know\r\n\r\n",
        "403"},
   };
-  auto F = desks(FleetBuilder().modelVms(0).plainVms(1));
+  auto F = buildPlainFleet(FleetBuilder().modelVms(0).plainVms(1));
   for (const Row &Each : Rows) {
     std::string Answer = sendRaw(F->entry(0).callers(), Each.Bytes_);
     INFO(Each.Bytes_.substr(0, 120) << "\n" << Answer);
--- a/tests/integration/ControlFixture.cpp
+++ b/tests/integration/ControlFixture.cpp
@@ -9,7 +9,7 @@
 
 std::int64_t ControlFixture::accept(int Weight) {
   json::object Text = Fleet_->declaration({});
-  // No model VMs: the model service would name no version.
+  // No model VMs: the model service would have no version.
   Text["services"].as_object().erase("copywriter-lm");
   Text["customers"] = {{"hp-travel", {{"weight", Weight}}}};
   ToolResult Applied = Fleet_->apply(Text);
--- a/tests/integration/ControlFixture.h
+++ b/tests/integration/ControlFixture.h
@@ -1,4 +1,4 @@
-// What the tests of configuration and membership ask of a fleet.
+// A fleet and helpers for the tests of configuration and membership.
 
 #ifndef HAWTHORNROAD_TESTS_INTEGRATION_CONTROLFIXTURE_H
 #define HAWTHORNROAD_TESTS_INTEGRATION_CONTROLFIXTURE_H
@@ -22,15 +22,15 @@
                                       .plainVms(4)
                                       .build();
 
-  // Applies a text that differs by Weight, and returns its revision.
+  // Applies a declaration with this customer weight; returns its revision.
   std::int64_t accept(int Weight);
   std::vector<FleetProcess *> running();
-  // The control plane's part of a process's status.
+  // The control plane's section of a process's status.
   static boost::json::object control(FleetProcess &P);
   static std::int64_t revision(FleetProcess &P);
-  // The state that Viewer holds About in; empty when unknown.
+  // The membership state of About as Viewer sees it; empty when unknown.
   static std::string stateAt(FleetProcess &Viewer, const FleetProcess &About);
-  void awaitRevision(std::int64_t R, Duration Bound = Patience);
+  void awaitRevision(std::int64_t R, Duration Bound = AwaitTimeout);
   void awaitAllAlive();
 };
 
--- a/tests/integration/EntryDrainTest.cpp
+++ b/tests/integration/EntryDrainTest.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 std::unique_ptr<Fleet> slowDesk() {
-  return desks(FleetBuilder()
-                   .modelVms(0)
-                   .plainVms(1)
-                   .serviceOptions({"--work-ms", "1500"})
-                   .entrySettings({{"drain_grace_ms", 300}}));
+  return buildPlainFleet(FleetBuilder()
+                             .modelVms(0)
+                             .plainVms(1)
+                             .serviceOptions({"--work-ms", "1500"})
+                             .entrySettings({{"drain_grace_ms", 300}}));
 }
 } // namespace
 
--- a/tests/integration/Eventually.h
+++ b/tests/integration/Eventually.h
@@ -1,4 +1,4 @@
-// Waits on conditions in place of times.
+// Waits for conditions instead of fixed times.
 //
 //   eventually([&] { return Agent.isReady(); }, "the agent is ready");
 
@@ -12,14 +12,14 @@
 
 namespace hawthornroad {
 
-// Generous: it is met only when something is wrong, or on a very busy machine.
-constexpr Duration Patience = Seconds(20);
+// Long, so that it is reached only on a fault or on a heavily loaded machine.
+constexpr Duration AwaitTimeout = Seconds(20);
 
 // Polls Condition until it holds; an exception counts as "not yet". Throws
-// std::runtime_error naming What, with the last exception's text, when Bound is
-// over.
+// std::runtime_error with What and the last exception's text once Bound has
+// elapsed.
 void eventually(const std::function<bool()> &Condition, const std::string &What,
-                Duration Bound = Patience);
+                Duration Bound = AwaitTimeout);
 
 } // namespace hawthornroad
 
--- a/tests/integration/FakesTest.cpp
+++ b/tests/integration/FakesTest.cpp
@@ -183,7 +183,9 @@
   auto Begin = std::chrono::steady_clock::now();
   StreamCall One(Origin.address(), {.Target_ = "/w.bin"});
   StreamCall Two(Origin.address(), {.Target_ = "/w.bin"});
-  auto Got = [](const StreamCall &Call) { return Call.sofar().Body_.size(); };
+  auto Got = [](const StreamCall &Call) {
+    return Call.resultSoFar().Body_.size();
+  };
   eventually([&] { return Got(One) + Got(Two) > 400'000; },
              "both readers receive bytes");
   REQUIRE(Got(One) > 100'000);
@@ -280,7 +282,7 @@
   };
   StreamCall Running(Engine.address(),
                      request("long", 100'000, {{"Engine-Request", "r"}}));
-  eventually([&] { return !Running.sofar().Events_.empty(); },
+  eventually([&] { return !Running.resultSoFar().Events_.empty(); },
              "the request runs");
   StreamCall Batch(
       Engine.address(),
--- a/tests/integration/Fixture.h
+++ b/tests/integration/Fixture.h
@@ -1,4 +1,4 @@
-// Scaffolding of the integration tests: real processes on loopback.
+// Base of the integration tests, which run real processes on loopback.
 //
 //   TEST_CASE_METHOD(FakesFixture, "table, ..., ...") {
 //     Fake &Table = fake("table");
@@ -7,10 +7,11 @@
 //                "the write is counted");
 //   }
 //
-// Process.h starts and ends processes, HttpHelpers.h speaks HTTP, Fakes.h runs
-// stand-ins and proxies, Fleet.h builds a whole fleet. A process never outlives
-// its test: its object kills it, and the kernel does when the test program
-// dies. What processes wrote to standard error is printed when a test fails.
+// Process.h starts and ends processes, HttpHelpers.h sends HTTP requests,
+// Fakes.h runs stand-ins and proxies, Fleet.h builds a whole fleet. A process
+// never outlives its test: its object's destructor kills it, or the kernel does
+// when the test program ends. When a test fails, the standard error output of
+// its processes is printed.
 
 #ifndef HAWTHORNROAD_TESTS_INTEGRATION_FIXTURE_H
 #define HAWTHORNROAD_TESTS_INTEGRATION_FIXTURE_H
@@ -33,7 +34,7 @@
              const std::vector<std::string> &Options = {}) {
     return Fakes_.emplace_back(Folder_, Kind, Options);
   }
-  // A proxy before Target, which may be empty until Proxy::setTarget.
+  // A proxy in front of Target, which may be empty until Proxy::setTarget.
   Proxy &proxy(const std::string &Target) {
     return Proxies_.emplace_back(Folder_, Target);
   }
@@ -41,7 +42,7 @@
 
 private:
   TemporaryFolder Folder_;
-  // Deques: references to their elements stay good.
+  // Deques, so that references to their elements stay valid.
   std::deque<Fake> Fakes_;
   std::deque<Proxy> Proxies_;
 };
--- a/tests/integration/Fleet.cpp
+++ b/tests/integration/Fleet.cpp
@@ -18,7 +18,7 @@
 constexpr const char *ModelService = "copywriter-lm";
 constexpr const char *PlainService = "billing-desk";
 constexpr std::size_t ChunkSize = 32 * 1024;
-// More than a few seeds would hide faults of gossip.
+// Few, because a larger number of seeds would hide faults of gossip.
 constexpr std::size_t MaxSeeds = 3;
 
 std::string numbered(const std::string &Name, std::size_t Number) {
@@ -360,7 +360,7 @@
           return textAt(Model, "state") == "ready" &&
                  textAt(Model, "version") == Version.Digest_.str();
         },
-        Each->Name_ + "'s engine serves the version", 2 * Patience);
+        Each->Name_ + "'s engine serves the version", 2 * AwaitTimeout);
   awaitReady();
 }
 
--- a/tests/integration/Fleet.h
+++ b/tests/integration/Fleet.h
@@ -1,5 +1,5 @@
-// A whole fleet on loopback: the platform's stand-ins, entries, agents with
-// their engines and services, and the operators' text.
+// A whole fleet on loopback: stand-ins for the platform, entries, agents with
+// their engines and services, and the operators' declaration.
 //
 //   auto F = FleetBuilder().zones({"a", "b"}).modelVms(3).plainVms(1).build();
 //   WeightVersion V1 = F->publishWeights("v1", 1);
@@ -8,9 +8,9 @@
 //   F->complete(F->entry(0), "hello", 8);
 //
 // VM names are copywriter-lm-N (model engines) and billing-desk-N (plain
-// services), spread over the zones in turn. With withProxies() each listener
-// between processes, each endpoint and each zone's way to the platform stands
-// behind a proxy of its own; cutOff() parts a zone from the others.
+// services), assigned to the zones round-robin. With withProxies() each
+// listener between processes, each endpoint and each zone's path to the
+// platform has its own proxy; cutOff() partitions a zone from the others.
 
 #ifndef HAWTHORNROAD_TESTS_INTEGRATION_FLEET_H
 #define HAWTHORNROAD_TESTS_INTEGRATION_FLEET_H
@@ -31,7 +31,7 @@
 struct WeightVersion {
   std::string ManifestPath_;
   VersionDigest Digest_;
-  // Of the blob: what an engine must have read.
+  // Digest of the blob that an engine must have read.
   std::string BlobDigest_;
   std::size_t Size_ = 0;
   bool operator==(const WeightVersion &) const = default;
@@ -46,12 +46,12 @@
   std::vector<std::string> EngineOptions_ = {"--token-ms", "2"};
   std::vector<std::string> ServiceOptions_;
   std::vector<std::string> OriginOptions_;
-  // Keys that replace the settings the fleet would write.
+  // Keys that override the settings that the fleet writes.
   boost::json::object EntrySettings_;
   boost::json::object AgentSettings_;
 };
 
-// One process of the system and what stands around it.
+// One process of the system with its stand-ins and proxies.
 struct FleetProcess {
   std::string Name_;
   std::string Zone_;
@@ -61,22 +61,22 @@
   // Empty for an entry.
   Vm Vm_;
   Fake *Endpoint_ = nullptr;
-  // Null without proxies: before the peer listener, and for an agent before
-  // its weights listener and before its engine or service.
+  // Null without proxies. In front of the peer listener and, for an agent, in
+  // front of its weights listener and of its engine or service.
   Proxy *PeerProxy_ = nullptr;
   Proxy *WeightsProxy_ = nullptr;
   Proxy *EndpointProxy_ = nullptr;
-  // None while it is not running.
+  // Unset while it is not running.
   std::optional<Process> Process_;
 
   std::string admin() { return Process_->readyText("admin"); }
-  // Of an entry: where callers go.
+  // The address of an entry for callers.
   std::string callers() { return Process_->readyText("callers"); }
-  // Where other processes reach it.
+  // The address at which other processes reach it.
   std::string peers();
 };
 
-// The platform as one zone reaches it.
+// The platform's addresses as one zone reaches them.
 struct PlatformPath {
   std::string Table_;
   std::string Objects_;
@@ -108,27 +108,27 @@
 
   // Starts a process that is not running, with its settings as before.
   void start(FleetProcess &P);
-  // Kills it and forgets it; the next start() is a replacement.
+  // Kills and discards it; the next start() runs a replacement.
   void kill(FleetProcess &P);
-  // Parts Zone from all other zones, and from the platform when Platform is
-  // set; heal() clears the faults of all proxies. Needs withProxies().
+  // Partitions Zone from all other zones, and from the platform when Platform
+  // is set; heal() clears the faults of all proxies. Needs withProxies().
   void cutOff(const std::string &Zone, bool Platform);
   void heal();
-  // Writes what runs now into the platform's membership list.
+  // Writes the running processes to the platform's membership list.
   void publishMembers();
 
   // Puts a version of Size random bytes at the origin.
   WeightVersion publishWeights(const std::string &Name, std::uint64_t Seed,
                                std::size_t Size = 300'000);
-  // The operators' text for this fleet; tests change it before apply().
+  // The operators' declaration for this fleet; tests edit it before apply().
   boost::json::object declaration(const WeightVersion &Version) const;
   // hawthornroadctl with --table and --charts added.
   ToolResult ctl(std::vector<std::string> Arguments);
   ToolResult apply(const boost::json::object &Text,
                    const std::string &Reason = "test");
 
-  // Wait until each process is ready; until each model engine serves Version
-  // and each agent says so.
+  // Wait until each process is ready, or until each model engine serves Version
+  // and its agent reports it.
   void awaitReady();
   void awaitServing(const WeightVersion &Version);
 
@@ -172,15 +172,16 @@
   FleetShape Shape_;
 };
 
-// What Seen's /status says of another process: "alive", "suspect", "dead" or
-// "left"; empty when it does not know it.
+// The state of another process in Seen's /status: "alive", "suspect", "dead" or
+// "left"; empty when Seen does not know it.
 std::string memberState(FleetProcess &Seen, const std::string &Process);
-// Log lines of all of the fleet's processes that hold each of Texts.
+// Number of log lines of all processes of the fleet that contain every one of
+// Texts.
 int logLines(Fleet &F, const std::vector<std::string> &Texts);
 
-// Bytes that depend on the seed alone.
+// Bytes that depend only on Size and Seed.
 std::string seededBytes(std::size_t Size, std::uint64_t Seed);
-// The manifest of a blob that stands at BlobPath of the origin.
+// The manifest of a blob stored at BlobPath of the origin.
 std::string manifestText(const std::string &Model, const std::string &Blob,
                          const std::string &BlobPath, std::size_t ChunkSize);
 
--- a/tests/integration/HttpHelpers.cpp
+++ b/tests/integration/HttpHelpers.cpp
@@ -23,7 +23,7 @@
                              std::to_string(R.Status_) + " " + R.Body_);
 }
 
-// The data of each whole event in Body; an unfinished one is left out.
+// The data of each complete event in Body; an incomplete one is omitted.
 std::vector<std::string> eventsOf(std::string_view Body) {
   std::vector<std::string> Events;
   for (;;) {
@@ -31,7 +31,7 @@
     if (End == std::string_view::npos)
       return Events;
     std::string_view Event = Body.substr(0, End);
-    // Other fields, an id for one, may come before it.
+    // Other fields, such as an id, may precede it.
     std::size_t Line = Event.starts_with(DataPrefix)
                            ? 0
                            : Event.find("\n" + std::string(DataPrefix));
@@ -109,7 +109,7 @@
 
 StreamCall::StreamCall(const std::string &Address, HttpRequest R)
     : State_(std::make_shared<State>()) {
-  State *S = State_.get(); // its IoThread stops before it goes
+  State *S = State_.get(); // its IoThread stops before it is destroyed
   HttpClient::Callbacks C;
   C.OnHead_ = [S](const HttpResponse &Head) { S->head(Head); };
   C.OnData_ = [S](std::string_view Bytes) { S->data(Bytes); };
@@ -121,11 +121,11 @@
 }
 
 StreamCall::~StreamCall() {
-  leave();
+  disconnect();
   State_->Io_.stop();
 }
 
-StreamResult StreamCall::sofar() const {
+StreamResult StreamCall::resultSoFar() const {
   std::lock_guard Guard(State_->Lock_);
   StreamResult Result = State_->Result_;
   Result.Events_ = eventsOf(Result.Body_);
@@ -139,10 +139,10 @@
 
 StreamResult StreamCall::wait(Duration Bound) {
   eventually([this] { return done(); }, "the stream has ended", Bound);
-  return sofar();
+  return resultSoFar();
 }
 
-void StreamCall::leave() { State_->Call_->cancel(); }
+void StreamCall::disconnect() { State_->Call_->cancel(); }
 
 StreamResult fetchStream(const std::string &Address, HttpRequest R) {
   return StreamCall(Address, std::move(R)).wait();
--- a/tests/integration/HttpHelpers.h
+++ b/tests/integration/HttpHelpers.h
@@ -1,4 +1,5 @@
-// HTTP for tests: whole calls, and streams whose events are read as they come.
+// HTTP for tests: complete calls, and streams whose events are read as they
+// arrive.
 
 #ifndef HAWTHORNROAD_TESTS_INTEGRATION_HTTPHELPERS_H
 #define HAWTHORNROAD_TESTS_INTEGRATION_HTTPHELPERS_H
@@ -13,14 +14,14 @@
 
 namespace hawthornroad {
 
-// One call; throws Error when no whole answer comes.
+// One call; throws Error when no complete answer arrives.
 HttpResponse fetch(const std::string &Address, HttpRequest R,
-                   Duration Timeout = Patience);
+                   Duration Timeout = AwaitTimeout);
 HttpResponse get(const std::string &Address, const std::string &Target);
-// GET of an object; throws unless it is answered 200.
+// GETs a JSON object; throws unless the status is 200.
 boost::json::object getJson(const std::string &Address,
                             const std::string &Target);
-// Throws unless answered 200 to 299.
+// Throw unless the status is 200 to 299.
 void postJson(const std::string &Address, const std::string &Target,
               const boost::json::object &Body);
 void putJson(const std::string &Address, const std::string &Target,
@@ -31,21 +32,21 @@
 // The text at Key of an object; empty when absent.
 std::string textAt(const boost::json::object &From, std::string_view Key);
 
-// What became of a streaming call.
+// Result of a streaming call.
 struct StreamResult {
-  // 0 when no head came.
+  // 0 when no response head arrived.
   unsigned Status_ = 0;
   HttpHeaders Headers_;
   std::string Body_;
   // The "data:" texts, in order.
   std::vector<std::string> Events_;
-  // Whether the body ended as its framing says.
+  // Whether the body is complete according to its framing.
   bool Whole_ = false;
-  // Why not, when it did not.
+  // The error, when it is not complete.
   std::string Error_;
 };
 
-// A call whose answer is read while the test goes on.
+// A call whose answer is read while the test continues.
 class StreamCall {
 public:
   StreamCall(const std::string &Address, HttpRequest R);
@@ -53,13 +54,13 @@
   StreamCall(const StreamCall &) = delete;
   StreamCall &operator=(const StreamCall &) = delete;
 
-  // What has come so far.
-  StreamResult sofar() const;
+  // What has arrived so far.
+  StreamResult resultSoFar() const;
   bool done() const;
   // Waits until the call has ended; throws after Bound.
-  StreamResult wait(Duration Bound = Patience);
-  // Leaves, as a caller does that closes its connection.
-  void leave();
+  StreamResult wait(Duration Bound = AwaitTimeout);
+  // Closes the connection, as a caller that disconnects does.
+  void disconnect();
 
 private:
   struct State;
--- a/tests/integration/Main.cpp
+++ b/tests/integration/Main.cpp
@@ -8,8 +8,9 @@
 namespace {
 bool Failed = false;
 
-// Remembers a failed assertion until the test case's processes have ended, so
-// that their logs are printed also after a CHECK that let the test go on.
+// Records a failed assertion until the test case's processes have ended, so
+// that their logs are also printed after a failed CHECK, which continues the
+// test.
 class FailureListener : public Catch::TestEventListenerBase {
 public:
   using TestEventListenerBase::TestEventListenerBase;
--- a/tests/integration/OrdersTest.cpp
+++ b/tests/integration/OrdersTest.cpp
@@ -49,7 +49,7 @@
          textAt(Model, "version") == V.Digest_.str();
 }
 void awaitServes(Fleet &F, const WeightVersion &V, const std::string &What) {
-  eventually([&] { return serves(F, V); }, What, 2 * Patience);
+  eventually([&] { return serves(F, V); }, What, 2 * AwaitTimeout);
 }
 // Requires that the engine never got an older order after a newer one.
 void requireRisingOrders(Fleet &F) {
@@ -157,7 +157,7 @@
         auto Model = getJson(First.Endpoint_->address(), "/admin/model");
         return textAt(Model, "version") == V3.Digest_.str();
       },
-      "the replacement orders the third version", 2 * Patience);
+      "the replacement orders the third version", 2 * AwaitTimeout);
   First.Process_->resume();
   awaitServes(*F, V3, "the third version is served");
   // The first agent may send orders again, and has none to send or waits for
@@ -169,7 +169,7 @@
         return Status.at("may_order").as_bool() &&
                (State == "serving" || State == "waiting_turn");
       },
-      "the first agent has settled", 2 * Patience);
+      "the first agent has settled", 2 * AwaitTimeout);
   requireRisingOrders(*F);
   REQUIRE(serves(*F, V3));
   REQUIRE(textAt(loads(*F).back().as_object(), "version") == V3.Digest_.str());
--- a/tests/integration/PlatformFixture.cpp
+++ b/tests/integration/PlatformFixture.cpp
@@ -105,7 +105,7 @@
   X->respond(jsonResponse(200, text(Out)));
 }
 
-// Conditions are not looked at: the entry's only write has none.
+// Ignores conditions: the entry's only write has none.
 void StoreStandIn::write(const HttpRequest &R,
                          const std::shared_ptr<HttpExchange> &X) {
   json::object Call = json::parse(R.Body_).as_object();
@@ -152,7 +152,7 @@
     std::erase_if(Held_, [&](const Held &H) {
       if (H.Exchange_ != X)
         return false;
-      // A silent store's held questions are lost.
+      // Requests held by a silent store are lost.
       if (Mode_ == Mode::Normal)
         answerFeed(H, true);
       return true;
@@ -396,7 +396,7 @@
   return metricsOf(*Entry_);
 }
 
-// Parses the page strictly: a line that is no sample and no comment throws.
+// Parses strictly: throws on a line that is neither a sample nor a comment.
 std::map<std::string, double> PlatformFixture::metricsOf(Process &Entry) {
   std::map<std::string, double> Out;
   std::istringstream Page(get(Entry.readyText("metrics"), "/metrics").Body_);
@@ -405,11 +405,11 @@
       continue;
     std::size_t Space = Line.rfind(' ');
     if (Space == std::string::npos)
-      throw std::runtime_error("no sample: " + Line);
+      throw std::runtime_error("not a metric sample: " + Line);
     std::size_t Used = 0;
     double Value = std::stod(Line.substr(Space + 1), &Used);
     if (Used != Line.size() - Space - 1)
-      throw std::runtime_error("no number: " + Line);
+      throw std::runtime_error("not a number: " + Line);
     Out[Line.substr(0, Space)] = Value;
   }
   return Out;
--- a/tests/integration/PlatformFixture.h
+++ b/tests/integration/PlatformFixture.h
@@ -1,4 +1,4 @@
-// Stand-ins of a platform with a store, and an entry or agent beside them.
+// Stand-ins for a platform with a store, and an entry or agent to test.
 //
 //   PlatformFixture P;
 //   P.Store_.put("servers", "i-1", Api.row());
@@ -6,10 +6,10 @@
 //   Process &Entry = P.startEntry();
 //   HttpResponse R = P.call("/safe/1");
 //
-// The stand-ins speak the platform's published messages and misbehave on
-// request: the store refuses, stays silent or drops its history; an endpoint
-// refuses, loses answers or breaks streams off. What reached them is counted by
-// request, which is the evidence of at most one run.
+// The stand-ins use the platform's published messages and inject faults on
+// request: the store refuses, does not answer or drops its history; an endpoint
+// refuses, loses answers or breaks off streams. Endpoints count runs by
+// request, which is how tests check that a request ran at most once.
 
 #ifndef HAWTHORNROAD_TESTS_INTEGRATION_PLATFORMFIXTURE_H
 #define HAWTHORNROAD_TESTS_INTEGRATION_PLATFORMFIXTURE_H
@@ -24,7 +24,7 @@
 
 namespace hawthornroad {
 
-// Rows of tables, a listing and a feed.
+// Store with rows in tables, listings and change feeds.
 class StoreStandIn {
 public:
   enum class Mode { Normal, Refuse, Silent };
@@ -37,10 +37,10 @@
            const std::string &Value);
   void remove(const std::string &Table, const std::string &Key);
   void setMode(Mode M) { Mode_ = M; }
-  // Changes up to now are no longer told by feeds.
+  // Feeds no longer report changes made up to now.
   void dropHistory();
   int calls() const { return Calls_; }
-  // Rows of a table whose writers were told that they are kept.
+  // Number of rows of a table whose writes were acknowledged.
   std::size_t rows(const std::string &Table) const;
 
 private:
@@ -75,7 +75,7 @@
   std::string Address_;
 };
 
-// One endpoint of a service, plain or an event stream's.
+// One endpoint of a service that answers plainly or with an event stream.
 class EndpointStandIn {
 public:
   enum class Mode { Normal, NotRun, LoseAnswer, BreakStream };
@@ -86,14 +86,14 @@
   const std::string &id() const { return Id_; }
   const std::string &address() const { return Address_; }
   std::string row(bool Draining = false) const;
-  // Listed under another address than its own: that of a proxy before it.
+  // Lists it under another address, that of a proxy in front of it.
   void setListedAt(const std::string &Address) { ListedAt_ = Address; }
   void setMode(Mode M) { Mode_ = M; }
-  // How long an answer takes.
+  // Delay before each answer.
   void setDelay(Duration D) { Delay_ = D; }
   int runs(const std::string &Request) const;
   int runs() const;
-  // The last request that ran.
+  // The most recent request that ran.
   HttpRequest last() const;
 
 private:
@@ -128,10 +128,10 @@
 
   PlatformFixture();
 
-  // Writes the configuration as it is now, with the next version.
+  // Writes the current configuration with the next version.
   void configure();
   Process &startEntry(Duration RevokeBound = Milliseconds(2000));
-  // An entry of zone z that others ask and that asks others.
+  // An entry of zone z that serves reads to its peers and reads from them.
   std::unique_ptr<Process> startZoneEntry(const std::string &Name);
   bool isReady();
   static bool isReady(Process &Entry);
--- a/tests/integration/Process.cpp
+++ b/tests/integration/Process.cpp
@@ -35,9 +35,9 @@
   return std::string(BINARY_DIR) + "/" + Program;
 }
 
-// Runs in the child. The kernel ends it when the test does, even by a crash;
-// and it inherits no socket, for one that did would hold a connection open
-// that the test has closed.
+// Runs in the child. The kernel kills it when the test ends, even by a crash.
+// It inherits no socket: an inherited one would keep a connection open that the
+// test has closed.
 void prepareChild() {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   ::close_range(STDERR_FILENO + 1, ~0U, CLOSE_RANGE_CLOEXEC);
@@ -59,12 +59,12 @@
     try {
       if (Condition())
         return;
-      Last = "it does not hold";
+      Last = "condition is false";
     } catch (const std::exception &E) {
       Last = E.what();
     }
     if (std::chrono::steady_clock::now() >= End)
-      throw std::runtime_error("waited in vain: " + What + ": " + Last);
+      throw std::runtime_error("timed out waiting: " + What + ": " + Last);
     std::this_thread::sleep_for(PollPeriod);
   }
 }
@@ -73,7 +73,7 @@
   std::string Pattern =
       (std::filesystem::temp_directory_path() / "hawthornroad-XXXXXX");
   if (::mkdtemp(Pattern.data()) == nullptr)
-    throw std::runtime_error("no temporary folder can be made");
+    throw std::runtime_error("cannot create a temporary folder");
   Path_ = Pattern;
 }
 
@@ -128,7 +128,7 @@
 Process::~Process() {
   if (!State_ || !State_->Child_.valid())
     return;
-  // SIGKILL reaches a stopped process too.
+  // SIGKILL also ends a stopped process.
   kill();
   std::error_code Ignored;
   State_->Child_.wait(Ignored);
@@ -141,8 +141,8 @@
   return State_->Child_.running(Ignored);
 }
 
-// Signals go by pid only while the child has not been waited for: until then
-// the kernel cannot give its number to another process.
+// Signals are sent by pid only while the child has not been waited for: until
+// then the kernel cannot reuse its pid.
 void Process::terminate() {
   if (running())
     ::kill(pid(), SIGTERM);
@@ -170,7 +170,7 @@
 }
 
 std::string Process::readLine() {
-  auto End = std::chrono::steady_clock::now() + Patience;
+  auto End = std::chrono::steady_clock::now() + AwaitTimeout;
   std::string &Text = State_->Unread_;
   while (Text.find('\n') == std::string::npos) {
     pollfd Wait{State_->Output_.native_source(), POLLIN, 0};
@@ -191,7 +191,7 @@
 }
 
 const boost::json::object &Process::ready() {
-  // Processes that log to standard output may have said something before.
+  // Processes that log to standard output may have printed other lines before.
   while (!Ready_) {
     auto Line = boost::json::parse(readLine()).as_object();
     if (Line.contains("ready"))
@@ -216,7 +216,7 @@
       process::extend::on_exec_setup([](auto &) { prepareChild(); }));
   try {
     eventually([&] { return !Child.running(); }, Program + " has ended",
-               2 * Patience);
+               2 * AwaitTimeout);
   } catch (...) {
     Child.terminate();
     throw;
--- a/tests/integration/Process.h
+++ b/tests/integration/Process.h
@@ -1,4 +1,4 @@
-// Processes of one test, and the folder they write to.
+// Child processes of a test, and the folder they write to.
 //
 //   TemporaryFolder Folder;
 //   Process Agent({.Name_ = "agent-1", .Program_ = "hawthornroad-agent",
@@ -23,8 +23,8 @@
 
 namespace hawthornroad {
 
-// A fresh folder, removed at the end. When the test has failed, the logs in it
-// are printed first.
+// A new folder, removed on destruction. When the test has failed, the logs in
+// it are printed first.
 class TemporaryFolder {
 public:
   TemporaryFolder();
@@ -33,7 +33,7 @@
   TemporaryFolder &operator=(const TemporaryFolder &) = delete;
 
   const std::filesystem::path &path() const { return Path_; }
-  // Writes a file, its folders included, and returns its whole path.
+  // Writes a file, its folders included, and returns its full path.
   std::string write(const std::string &Name, const std::string &Content) const;
   // A new log file's path for a process called Name.
   std::filesystem::path newLog(const std::string &Name);
@@ -62,8 +62,8 @@
   Process &operator=(Process &&) = delete;
 
   const std::string &name() const { return Launch_.Name_; }
-  // The ready line, awaited on first use. Throws when the process ends or
-  // stays quiet in place of printing it.
+  // The ready line, awaited on first use. Throws when the process ends without
+  // printing it or does not print it in time.
   const boost::json::object &ready();
   std::string readyText(const std::string &Key);
 
@@ -71,12 +71,12 @@
   bool running();
   void terminate();
   void kill();
-  // SIGSTOP and SIGCONT: a pause the process cannot notice while it lasts.
+  // SIGSTOP and SIGCONT: a pause that the process cannot detect while stopped.
   void freeze();
   void resume();
   // The exit code once the process has ended, minus the signal when one ended
   // it; throws after Bound.
-  int waitExit(Duration Bound = Patience);
+  int waitExit(Duration Bound = AwaitTimeout);
 
 private:
   struct State;
--- a/tests/integration/RawEntry.h
+++ b/tests/integration/RawEntry.h
@@ -1,5 +1,5 @@
-// An entry reduced to its frames: it sends an agent what a test wants, in the
-// order the test wants, and keeps what comes back.
+// A minimal entry at the level of frames: it sends an agent the frames that a
+// test chooses, in the order it chooses, and records the replies.
 //
 //   RawEntry Entry;
 //   wire::AttemptBeginT Begin = RawEntry::begin(Attempt, "panel-api", "/x");
@@ -24,13 +24,13 @@
 
 class RawEntry {
 public:
-  // All that an agent has said of one attempt.
+  // All that an agent has sent about one attempt.
   struct Answer {
     int Accepted_ = 0;
     std::optional<wire::RefusalReason> Refused_;
     std::optional<wire::AttemptHeadT> Head_;
     std::string Body_;
-    // A data frame that did not begin where the body ended.
+    // Whether a data frame did not begin at the end of the body so far.
     bool Gap_ = false;
     std::optional<wire::AttemptEndT> End_;
     std::optional<wire::AttemptFailedT> Failed_;
@@ -88,13 +88,13 @@
                                      makeFrame(Message)));
   }
 
-  // Waits until Enough holds; fails the test after a generous time.
+  // Waits until Enough holds; fails the test after 30 s.
   Answer await(const AttemptId &Attempt,
                const std::function<bool(const Answer &)> &Enough) {
-    constexpr auto Patience = std::chrono::seconds(30);
+    constexpr auto AwaitTimeout = std::chrono::seconds(30);
     std::unique_lock Lock(Mutex_);
     INFO("attempt " << Attempt.str());
-    REQUIRE(Changed_.wait_for(Lock, Patience,
+    REQUIRE(Changed_.wait_for(Lock, AwaitTimeout,
                               [&] { return Enough(Answers_[Attempt]); }));
     return Answers_[Attempt];
   }
--- a/tests/integration/RequestFixture.cpp
+++ b/tests/integration/RequestFixture.cpp
@@ -6,7 +6,7 @@
 namespace hawthornroad {
 
 namespace {
-// Throws what the entry knows as long as that is not all.
+// Throws with the entry's status until it lists Desks ready billing-desks.
 bool knowsDesks(FleetProcess &Entry, std::size_t Desks) {
   HttpResponse Status = get(Entry.admin(), "/status");
   auto Known = boost::json::parse(Status.Body_);
@@ -20,7 +20,7 @@
 }
 } // namespace
 
-std::unique_ptr<Fleet> desks(const FleetBuilder &Builder) {
+std::unique_ptr<Fleet> buildPlainFleet(const FleetBuilder &Builder) {
   auto F = Builder.build();
   WeightVersion V = F->publishWeights("v1", 1);
   ToolResult Applied = F->apply(F->declaration(V));
@@ -81,7 +81,8 @@
   return Sum;
 }
 
-void requireTruth(Fleet &F, const std::string &Key, const HttpResponse &R) {
+void requireConsistentOutcome(Fleet &F, const std::string &Key,
+                              const HttpResponse &R) {
   std::int64_t Ran = runs(F, Key);
   INFO("key " << Key << " ran " << Ran << " times; answered " << R.Status_
               << " " << outcome(R) << " " << R.Body_);
--- a/tests/integration/RequestFixture.h
+++ b/tests/integration/RequestFixture.h
@@ -1,7 +1,7 @@
-// A fleet with plain services and what the proofs of the request path ask of
-// it: calls that must not run twice, and how often they ran.
+// A fleet with plain services and helpers for tests of the request path: calls
+// that must not run twice, and how often they ran.
 //
-//   auto F = desks(FleetBuilder().plainVms(2));
+//   auto F = buildPlainFleet(FleetBuilder().plainVms(2));
 //   HttpResponse R = invoice(F->entry(0), "key-1");
 //   REQUIRE(outcome(R) == "answered");
 //   REQUIRE(runs(*F, "key-1") == 1);
@@ -17,28 +17,28 @@
 
 namespace hawthornroad {
 
-// Builds the fleet, applies its text and waits until every plain service can
-// be reached through every entry.
-std::unique_ptr<Fleet> desks(const FleetBuilder &Builder);
+// Builds the fleet, applies its declaration and waits until every plain service
+// can be reached through every entry.
+std::unique_ptr<Fleet> buildPlainFleet(const FleetBuilder &Builder);
 
-// POST /billing-desk/invoices, which the text declares non-repeatable.
+// POST /billing-desk/invoices, which the declaration makes non-repeatable.
 HttpRequest invoiceRequest(const std::string &Key, int DeadlineMs = 10000,
                            const std::string &Body = "{\"amount\":1}");
 HttpResponse invoice(FleetProcess &Entry, const std::string &Key,
                      int DeadlineMs = 10000);
-// The same from a thread of its own. An answer that did not come whole has
-// status 0.
+// The same on a separate thread. An incomplete answer has status 0.
 std::future<HttpResponse> invoiceLater(FleetProcess &Entry,
                                        const std::string &Key,
                                        int DeadlineMs = 10000);
 
 // Hawthornroad-Outcome; empty when the response has none.
 std::string outcome(const HttpResponse &R);
-// How often the services ran the call with this key, all VMs together.
+// How often the services ran the call with this key, summed over all VMs.
 std::int64_t runs(Fleet &F, const std::string &Key);
-// What may be said of a key given how often it ran: answered exactly once,
-// not-run never, unknown at most once.
-void requireTruth(Fleet &F, const std::string &Key, const HttpResponse &R);
+// Requires that the outcome agrees with the number of runs: answered means one
+// run, not-run none, unknown at most one.
+void requireConsistentOutcome(Fleet &F, const std::string &Key,
+                              const HttpResponse &R);
 
 } // namespace hawthornroad
 
--- a/tests/integration/RolloutTest.cpp
+++ b/tests/integration/RolloutTest.cpp
@@ -207,7 +207,7 @@
             Halted.push_back(Each);
         return Halted.size() == 2;
       },
-      "the endpoints that have not tried are halted", 2 * Patience);
+      "the endpoints that have not tried are halted", 2 * AwaitTimeout);
   std::set<std::string> Failed;
   for (FleetProcess *Each : Agents)
     if (textAt(engineStatus(*Each), "failed_version") == V2.Digest_.str())
@@ -224,7 +224,7 @@
     Each->Endpoint_->setFaults("{}");
   for (FleetProcess *Each : Agents)
     eventually([&] { return serves(*Each, V1); },
-               Each->Name_ + " serves the old version again", 2 * Patience);
+               Each->Name_ + " serves the old version again", 2 * AwaitTimeout);
 
   std::int64_t OriginBytes = numberAt(F->origin().counters(), "bytes");
   ToolResult Rollback = F->ctl({"rollback", "1", "--reason", "v2 fails"});
--- a/tests/integration/SilentConnectionsTest.cpp
+++ b/tests/integration/SilentConnectionsTest.cpp
@@ -10,11 +10,11 @@
   // A middlebox loses the state of the connection between entry and agent while
   // the call runs: nothing is delivered any more, not even a reset, and TCP
   // would retransmit for minutes. New connections work.
-  auto F = desks(FleetBuilder()
-                     .modelVms(0)
-                     .plainVms(1)
-                     .serviceOptions({"--work-ms", "1500"})
-                     .withProxies());
+  auto F = buildPlainFleet(FleetBuilder()
+                               .modelVms(0)
+                               .plainVms(1)
+                               .serviceOptions({"--work-ms", "1500"})
+                               .withProxies());
   auto Answer = invoiceLater(F->entry(0), "k", 15000);
   eventually([&] { return runs(*F, "k") == 1; }, "the call runs");
   F->agent(0).PeerProxy_->setFaults(R"({"silent_existing":true})");
@@ -28,11 +28,11 @@
           "twice and is answered") {
   // The connection stopped delivering before the call, so the call's begin is
   // lost. The agent, queried over a new connection, has never seen it.
-  auto F = desks(FleetBuilder()
-                     .modelVms(0)
-                     .plainVms(1)
-                     .serviceOptions({"--work-ms", "1"})
-                     .withProxies());
+  auto F = buildPlainFleet(FleetBuilder()
+                               .modelVms(0)
+                               .plainVms(1)
+                               .serviceOptions({"--work-ms", "1"})
+                               .withProxies());
   REQUIRE(outcome(invoice(F->entry(0), "warm")) == "answered");
   F->agent(0).PeerProxy_->setFaults(R"({"silent_existing":true})");
   HttpResponse R = invoice(F->entry(0), "k", 15000);
@@ -43,7 +43,8 @@
 
 TEST_CASE("invoice, its table's connections gone silent, is refused at once or "
           "answered, and never run twice") {
-  auto F = desks(FleetBuilder().modelVms(0).plainVms(1).withProxies());
+  auto F =
+      buildPlainFleet(FleetBuilder().modelVms(0).plainVms(1).withProxies());
   F->platformOf("zone-a").Proxies_.front()->setFaults(
       R"({"silent_existing":true})");
   HttpResponse R = invoice(F->entry(0), "k");
--- a/tests/integration/WholeAnswersTest.cpp
+++ b/tests/integration/WholeAnswersTest.cpp
@@ -85,7 +85,7 @@
   StreamFixture S("25");
   std::vector<std::string> Expected = S.expected("the long way home");
   StreamCall Call(S.F_->entry(0).callers(), stream("the long way home"));
-  eventually([&] { return Call.sofar().Events_.size() > 4; },
+  eventually([&] { return Call.resultSoFar().Events_.size() > 4; },
              "the stream has begun");
   for (FleetProcess &Each : S.F_->agents()) {
     auto Load = getJson(Each.Endpoint_->address(), "/load");
@@ -131,9 +131,9 @@
   StreamFixture S("50");
   {
     StreamCall Call(S.F_->entry(0).callers(), stream("never mind"));
-    eventually([&] { return !Call.sofar().Events_.empty(); },
+    eventually([&] { return !Call.resultSoFar().Events_.empty(); },
                "the stream has begun");
-    Call.leave();
+    Call.disconnect();
   }
   std::int64_t Made = 0;
   eventually(
--- a/tests/soak/SoakCaller.cpp
+++ b/tests/soak/SoakCaller.cpp
@@ -13,10 +13,10 @@
 std::optional<SoakAnswer> SoakCaller::call(const std::string &Address,
                                            const std::string &Target,
                                            const SoakRequest &R) {
-  auto &Stream = Open_[Address];
+  auto &Stream = Connections_[Address];
   if (!Stream) {
     Stream = std::make_unique<beast::tcp_stream>(Io_);
-    Stream->expires_after(Patience);
+    Stream->expires_after(RequestTimeout);
     beast::error_code Code;
     Stream->async_connect(parseAddress(Address, Step::Connect),
                           [&](beast::error_code C) { Code = C; });
@@ -40,14 +40,14 @@
   Request.set(http::field::host, "127.0.0.1");
   Request.set("X-Hawthornroad-Request-Id", R.Id_);
   Request.set("X-Hawthornroad-Deadline-Ms",
-              std::to_string(Patience / Milliseconds(1)));
+              std::to_string(RequestTimeout / Milliseconds(1)));
   Request.set(http::field::authorization, "Token " + R.Key_);
   Request.body() = "{}";
   Request.prepare_payload();
   http::response<http::string_body> Answer;
   beast::flat_buffer Buffer;
   beast::error_code Code;
-  Stream.expires_after(Patience);
+  Stream.expires_after(RequestTimeout);
   http::async_write(Stream, Request, [&](beast::error_code C, std::size_t) {
     Code = C;
     if (!C)
--- a/tests/soak/SoakCaller.h
+++ b/tests/soak/SoakCaller.h
@@ -1,10 +1,10 @@
-// A caller that keeps its connections open until the process is gone.
+// An HTTP caller that keeps one connection per address open until it fails.
 //
 //   SoakCaller C;
 //   std::optional<SoakAnswer> A = C.call("127.0.0.1:8001", "POST", ...);
 //
-// One request at a time. Unset: no whole answer came, whatever the reason; then
-// nothing is known of the request.
+// Sends one request at a time. An unset result means that no complete answer
+// arrived, for whatever reason; whether the request ran is then unknown.
 
 #ifndef HAWTHORNROAD_TESTS_SOAK_SOAKCALLER_H
 #define HAWTHORNROAD_TESTS_SOAK_SOAKCALLER_H
@@ -21,8 +21,8 @@
 
 class SoakCaller {
 public:
-  // How long the caller waits; it tells the entry so.
-  static constexpr Duration Patience = Milliseconds(3000);
+  // How long the caller waits; sent to the entry as the request's deadline.
+  static constexpr Duration RequestTimeout = Milliseconds(3000);
 
   std::optional<SoakAnswer> call(const std::string &Address,
                                  const std::string &Target,
@@ -33,8 +33,8 @@
                 const SoakRequest &R, SoakAnswer &A);
 
   boost::asio::io_context Io_;
-  // By address; one that failed is dropped.
-  std::map<std::string, std::unique_ptr<boost::beast::tcp_stream>> Open_;
+  // By address; a failed connection is removed.
+  std::map<std::string, std::unique_ptr<boost::beast::tcp_stream>> Connections_;
 };
 
 } // namespace hawthornroad
--- a/tests/soak/SoakChecks.cpp
+++ b/tests/soak/SoakChecks.cpp
@@ -7,15 +7,15 @@
 namespace hawthornroad {
 
 namespace {
-// Between the sight of a configuration's effect and the request that must see
-// it as well, as the operators' pages bound it.
+// Time after a configuration's effect was first observed at a process, from
+// which every request there must observe it. Operators are given this bound.
 constexpr Duration RollbackSlack = Milliseconds(250);
 constexpr unsigned Ok = 200;
 constexpr unsigned NotFound = 404;
-// Attempts that one request of a repeatable kind may take.
-constexpr int MostAttempts = 2;
+// Attempts that one repeatable request may take.
+constexpr int MaxAttempts = 2;
 
-bool promisesNotRun(unsigned Status) {
+bool impliesNotRun(unsigned Status) {
   return Status == 408 || Status == 421 || Status == 429 || Status == 503;
 }
 } // namespace
@@ -45,35 +45,36 @@
   Answers_[Id] = A;
   ++Statuses_[A.Status_];
   if (A.Status_ == Ok)
-    R.Kind_ == SoakKind::Stream ? checkStream(R, A) : checkWhole(R, A);
-  checkNeverBack(R, A);
+    R.Kind_ == SoakKind::Stream ? checkStream(R, A) : checkPlainAnswer(R, A);
+  checkNoRollback(R, A);
 }
 
-void SoakChecks::checkWhole(const SoakRequest &R, const SoakAnswer &A) {
+void SoakChecks::checkPlainAnswer(const SoakRequest &R, const SoakAnswer &A) {
   if (A.EchoedId_ != R.Id_)
     add(R, "the answer is that of " + A.EchoedId_);
-  // An endpoint's body names it, and so does its signature.
+  // Both the body and the stamp header name the endpoint that answered.
   if (!A.Stamp_.starts_with("stamp-") ||
       A.Body_ != "from " + A.Stamp_.substr(6))
     add(R, "signature \"" + A.Stamp_ + "\" with body \"" + A.Body_ + "\"");
 }
 
 void SoakChecks::checkStream(const SoakRequest &R, const SoakAnswer &A) {
-  std::string Whole;
+  std::string Expected;
   for (int I = 1; I <= PlatformFixture::Events; ++I)
-    Whole +=
+    Expected +=
         "id: " + std::to_string(I) + "\ndata: e" + std::to_string(I) + "\n\n";
-  if (A.Body_ != Whole)
+  if (A.Body_ != Expected)
     add(R, "a stream that ends as complete has other events: " + A.Body_);
 }
 
-void SoakChecks::checkNeverBack(const SoakRequest &R, const SoakAnswer &A) {
+void SoakChecks::checkNoRollback(const SoakRequest &R, const SoakAnswer &A) {
   if (R.RouteSince_ == 0)
     return;
-  auto &[Newest, Since] = Known_[R.Process_];
+  auto &[Newest, Since] = NewestRoutes_[R.Process_];
   if (A.Status_ == NotFound) {
-    bool IsBack = Newest >= R.RouteSince_ && R.SentAt_ >= Since + RollbackSlack;
-    if (IsBack)
+    bool IsRolledBack =
+        Newest >= R.RouteSince_ && R.SentAt_ >= Since + RollbackSlack;
+    if (IsRolledBack)
       add(R, "route of configuration " + std::to_string(R.RouteSince_) +
                  " is gone, " + std::to_string(Newest) + " was in force");
   } else if (A.Status_ == Ok && R.RouteSince_ > Newest) {
@@ -83,13 +84,13 @@
 }
 
 void SoakChecks::checkRuns(const SoakRequest &R, int Runs) {
-  int Most = R.Kind_ == SoakKind::Once ? 1 : MostAttempts;
-  if (Runs > Most)
+  int MaxRuns = R.Kind_ == SoakKind::Once ? 1 : MaxAttempts;
+  if (Runs > MaxRuns)
     add(R, "ran " + std::to_string(Runs) + " times");
   auto Answer = Answers_.find(R.Id_);
   if (Answer != Answers_.end()) {
     unsigned Status = Answer->second.Status_;
-    if (R.Kind_ != SoakKind::Safe && promisesNotRun(Status) && Runs > 0)
+    if (R.Kind_ != SoakKind::Safe && impliesNotRun(Status) && Runs > 0)
       add(R, "was answered " + std::to_string(Status) + " and ran");
     if (Status == Ok && Runs == 0)
       add(R, "was answered 200 and never ran");
--- a/tests/soak/SoakChecks.h
+++ b/tests/soak/SoakChecks.h
@@ -1,4 +1,4 @@
-// The promises that a soak checks, from what callers and endpoints saw.
+// Checks the guarantees of a soak from what callers and endpoints observed.
 //
 //   SoakChecks C(RevokeBound);
 //   C.sent({...}); C.answered(Id, {...});
@@ -6,7 +6,7 @@
 //   C.finish([&](const std::string &Id) { return runs(Id); });
 //   C.violations();
 //
-// Thread-safe: callers report from threads of their own.
+// Thread-safe: each caller reports from its own thread.
 
 #ifndef HAWTHORNROAD_TESTS_SOAK_SOAKCHECKS_H
 #define HAWTHORNROAD_TESTS_SOAK_SOAKCHECKS_H
@@ -28,9 +28,9 @@
   SoakKind Kind_ = SoakKind::Once;
   std::string Key_;
   TimePoint SentAt_;
-  // The process it went to: entry and start, "entry-2#4".
+  // The process it was sent to: entry name and start number, "entry-2#4".
   std::string Process_;
-  // The configuration that brought its route; 0: there from the start.
+  // The configuration that added its route; 0 for an initial route.
   std::uint64_t RouteSince_ = 0;
 };
 
@@ -44,13 +44,14 @@
 
 class SoakChecks {
 public:
-  // A request with a key that was removed longer ago must not run.
+  // A request must not run if its key was removed more than RevokeBound before
+  // it was sent.
   explicit SoakChecks(Duration RevokeBound) : RevokeBound_(RevokeBound) {}
 
   void sent(const SoakRequest &R);
   void answered(const std::string &Id, const SoakAnswer &A);
   void keyRemoved(const std::string &Key, TimePoint At);
-  // Runs tells how often endpoints ran a request.
+  // Runs returns how often the endpoints ran a request.
   void finish(const std::function<int(const std::string &)> &Runs);
 
   std::vector<std::string> violations() const;
@@ -58,9 +59,9 @@
   void violation(const std::string &What);
 
 private:
-  void checkWhole(const SoakRequest &R, const SoakAnswer &A);
+  void checkPlainAnswer(const SoakRequest &R, const SoakAnswer &A);
   void checkStream(const SoakRequest &R, const SoakAnswer &A);
-  void checkNeverBack(const SoakRequest &R, const SoakAnswer &A);
+  void checkNoRollback(const SoakRequest &R, const SoakAnswer &A);
   void checkRuns(const SoakRequest &R, int Runs);
   void add(const SoakRequest &R, const std::string &What);
 
@@ -69,8 +70,8 @@
   std::map<std::string, SoakRequest> Requests_;
   std::map<std::string, SoakAnswer> Answers_;
   std::map<std::string, TimePoint> Removed_;
-  // The newest route that a process has known, and since when.
-  std::map<std::string, std::pair<std::uint64_t, TimePoint>> Known_;
+  // By process: the newest route it has served, and since when.
+  std::map<std::string, std::pair<std::uint64_t, TimePoint>> NewestRoutes_;
   std::vector<std::string> Violations_;
   std::map<unsigned, int> Statuses_;
 };
--- a/tests/soak/SoakFaults.cpp
+++ b/tests/soak/SoakFaults.cpp
@@ -14,16 +14,17 @@
 constexpr int LongestMs = 4500;
 constexpr int LongestPauseMs = 1500;
 
-// The entry that is blind: the first, which others ask and which asks nobody.
-constexpr std::size_t BlindEntry = 0;
-constexpr Duration BlindFrom = Milliseconds(2000);
-constexpr Duration BlindFor = Milliseconds(9000);
-constexpr Duration RemovedAfter = Milliseconds(500);
+// The entry that loses the store: the first one, which the others read from and
+// which reads from no other entry.
+constexpr std::size_t StoreLossEntry = 0;
+constexpr Duration StoreLossFrom = Milliseconds(2000);
+constexpr Duration StoreLossFor = Milliseconds(9000);
+constexpr Duration KeyRemovedAfter = Milliseconds(500);
 
 struct KindRow {
   SoakFaultKind Kind_;
   const char *Name_;
-  // How often it is drawn, against the others.
+  // Relative probability of being drawn.
   unsigned Weight_;
 };
 constexpr std::array Kinds = {
@@ -42,7 +43,7 @@
     KindRow{SoakFaultKind::KeyRemoved, "key removed", 2},
     KindRow{SoakFaultKind::RouteAdded, "route added", 4}};
 
-// A link of 50 KB/s carries some fifty answers of the stand-ins a second.
+// A link of 50 KB/s carries about 50 stand-in answers per second.
 constexpr std::array PathFaultTexts = {
     R"({"blackhole":true})", R"({"refuse":true,"reset":true})",
     R"({"delay_ms":400})",   R"({"silent_existing":true})",
@@ -53,11 +54,11 @@
   unsigned Sum = 0;
   for (const KindRow &Each : Kinds)
     Sum += Each.Weight_;
-  std::uint64_t Left = R.below(Sum);
+  std::uint64_t Remaining = R.below(Sum);
   for (const KindRow &Each : Kinds) {
-    if (Left < Each.Weight_)
+    if (Remaining < Each.Weight_)
       return Each;
-    Left -= Each.Weight_;
+    Remaining -= Each.Weight_;
   }
   return Kinds.back();
 }
@@ -87,10 +88,12 @@
       Out.push_back(std::move(F));
     }
   }
-  Out.push_back({SoakFaultKind::StorePath, BlindEntry, R"({"blackhole":true})",
-                 BlindFrom, BlindFrom + BlindFor});
-  Out.push_back({SoakFaultKind::KeyRemoved, BlindEntry, "",
-                 BlindFrom + RemovedAfter, BlindFrom + BlindFor});
+  Out.push_back({SoakFaultKind::StorePath, StoreLossEntry,
+                 R"({"blackhole":true})", StoreLossFrom,
+                 StoreLossFrom + StoreLossFor});
+  Out.push_back({SoakFaultKind::KeyRemoved, StoreLossEntry, "",
+                 StoreLossFrom + KeyRemovedAfter,
+                 StoreLossFrom + StoreLossFor});
   std::sort(Out.begin(), Out.end(), [](const SoakFault &A, const SoakFault &B) {
     return A.From_ < B.From_;
   });
--- a/tests/soak/SoakFaults.h
+++ b/tests/soak/SoakFaults.h
@@ -1,16 +1,17 @@
-// Which fault comes when, on what and for how long: a plan from a seed.
+// Derives a fault plan from a seed: each fault's kind, target, start and end.
 //
 //   for (const SoakFault &F : planFaults(Seed, Seconds(30), Entries,
 //   Endpoints))
 //     ...
 //
-// Faults overlap: several series run side by side, each one fault after the
-// other with a pause between, so that one often begins while another lasts.
+// Faults overlap: several series run in parallel, each a sequence of faults
+// with pauses between them, so that one fault often begins while another is
+// active.
 //
-// One fault is in every plan, for chance seldom makes it: the entry that reads
-// the store for the others loses it for longer than the bound on taken-away
-// keys, and a key is taken away meanwhile. Without it a lease that never ends
-// went through seeds 1 to 4.
+// Every plan holds one fixed combination that random draws rarely produce: the
+// entry that reads the store for the others loses the store for longer than the
+// bound on revoked keys, and a key is removed in the meantime. Without it,
+// seeds 1 to 4 did not detect a key lease that never expires.
 
 #ifndef HAWTHORNROAD_TESTS_SOAK_SOAKFAULTS_H
 #define HAWTHORNROAD_TESTS_SOAK_SOAKFAULTS_H
@@ -23,32 +24,32 @@
 namespace hawthornroad {
 
 enum class SoakFaultKind {
-  // Of the path between an entry and the store, and to an endpoint.
+  // On the path from an entry to the store, or to an endpoint.
   StorePath,
   EndpointPath,
-  // Of an entry's process.
+  // On an entry's process.
   Freeze,
   Kill,
   Stop,
   Reload,
-  // Of the store.
+  // On the store.
   StoreRefuses,
   StoreSilent,
   HistoryLost,
-  // Of an endpoint.
+  // On an endpoint.
   AnswersLost,
   NotRun,
   StreamsBroken,
-  // What operators do.
+  // Operator actions.
   KeyRemoved,
   RouteAdded
 };
 
 struct SoakFault {
   SoakFaultKind Kind_ = SoakFaultKind::Freeze;
-  // Entry or endpoint, by its place.
+  // Index of the entry or endpoint.
   std::size_t Target_ = 0;
-  // What a path does, in the proxy's words.
+  // For path faults: the proxy's fault settings, as JSON.
   std::string Path_;
   Duration From_{};
   Duration To_{};
--- a/tests/soak/SoakWorld.cpp
+++ b/tests/soak/SoakWorld.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 constexpr std::size_t Endpoints = 3;
-// The operators' bounds that the entries are started with.
+// The operator-set bound that the entries are started with.
 constexpr Duration RevokeBound = Milliseconds(5000);
-// What a request may take from its sending to its run.
-constexpr Duration RunSlack = SoakCaller::Patience;
-constexpr Duration StartPatience = Seconds(10);
+// Longest time between sending a request and its run.
+constexpr Duration RunSlack = SoakCaller::RequestTimeout;
+constexpr Duration ExitTimeout = Seconds(10);
 constexpr auto SteadyKey = "steady";
 constexpr Duration CallerPause = Milliseconds(5);
 
@@ -85,14 +85,14 @@
   E.Process_->ready();
   E.Frozen_ = 0;
   ++E.Starts_;
-  auto Place = static_cast<std::size_t>(&E - Entries_.data());
+  auto Index = static_cast<std::size_t>(&E - Entries_.data());
   std::lock_guard Lock(Mutex_);
-  Addresses_[Place] = {E.Process_->readyText("callers"),
+  Addresses_[Index] = {E.Process_->readyText("callers"),
                        E.Name_ + "#" + std::to_string(E.Starts_)};
 }
 
-// Routes are only ever added, so a process that knows one may never say that
-// there is none.
+// Routes are only ever added, so a process that has served a route must never
+// answer afterwards that it does not exist.
 void SoakWorld::configure() {
   json::array Routes = {route("once", "non_idempotent"),
                         route("safe", "idempotent"),
@@ -193,7 +193,7 @@
     return;
   case SoakFaultKind::Kill:
   case SoakFaultKind::Stop:
-    return revive(E);
+    return restart(E);
   case SoakFaultKind::StoreRefuses:
   case SoakFaultKind::StoreSilent:
     return Store_.setMode(StoreStandIn::Mode::Normal);
@@ -209,11 +209,11 @@
   }
 }
 
-// A process that was killed, or is still about its planned stop, starts anew.
-void SoakWorld::revive(Entry &E) {
+// Restarts a process that was killed or that is still shutting down.
+void SoakWorld::restart(Entry &E) {
   if (E.Process_->running())
     E.Process_->kill();
-  E.Process_->waitExit(StartPatience);
+  E.Process_->waitExit(ExitTimeout);
   start(E);
 }
 
@@ -234,14 +234,14 @@
   }
   std::stable_sort(Steps.begin(), Steps.end(),
                    [](const Step &A, const Step &B) { return A.At_ < B.At_; });
-  TimePoint Begun = now();
+  TimePoint StartedAt = now();
   for (const Step &S : Steps) {
-    std::this_thread::sleep_until(Begun + S.At_);
+    std::this_thread::sleep_until(StartedAt + S.At_);
     if (!S.IsEnd_)
       std::cout << "  " << describe(*S.Fault_) << std::endl;
     S.IsEnd_ ? end(*S.Fault_) : begin(*S.Fault_);
   }
-  calm();
+  checkRecovery();
   Stopping_ = true;
   for (std::thread &Each : Callers_)
     Each.join();
@@ -250,9 +250,9 @@
   Checks_.finish([this](const std::string &Id) { return runs(Id); });
 }
 
-// ---- The calm end -----------------------------------------------------------
+// ---- Recovery ---------------------------------------------------------------
 
-void SoakWorld::calm() {
+void SoakWorld::checkRecovery() {
   Store_.setMode(StoreStandIn::Mode::Normal);
   for (Api &Each : Apis_) {
     Each.Path_.Proxy_->setFaults("{}");
@@ -261,7 +261,7 @@
   for (Entry &Each : Entries_) {
     Each.StorePath_.Proxy_->setFaults("{}");
     if (!Each.Process_->running())
-      revive(Each);
+      restart(Each);
     Each.Process_->resume();
   }
   ++Routes_;
@@ -269,7 +269,7 @@
   TimePoint Since = now();
   SoakCaller Caller;
   for (Entry &Each : Entries_) {
-    while (!isWell(Each, Caller) && now() - Since < RecoverBound)
+    while (!hasRecovered(Each, Caller) && now() - Since < RecoverBound)
       std::this_thread::sleep_for(Milliseconds(100));
     if (now() - Since >= RecoverBound)
       Checks_.violation(Each.Name_ + " is not well again " +
@@ -278,17 +278,17 @@
   }
 }
 
-bool SoakWorld::isWell(const Entry &E, SoakCaller &Caller) {
+bool SoakWorld::hasRecovered(const Entry &E, SoakCaller &Caller) {
   static std::atomic<int> Number{0};
-  auto Place = static_cast<std::size_t>(&E - Entries_.data());
+  auto Index = static_cast<std::size_t>(&E - Entries_.data());
   SoakRequest R{"calm-" + std::to_string(++Number),
                 SoakKind::Safe,
                 SteadyKey,
                 now(),
-                Addresses_[Place].Process_,
+                Addresses_[Index].Process_,
                 0};
   Checks_.sent(R);
-  auto A = Caller.call(Addresses_[Place].Callers_,
+  auto A = Caller.call(Addresses_[Index].Callers_,
                        "/new" + std::to_string(Routes_) + "/x", R);
   if (A)
     Checks_.answered(R.Id_, *A);
@@ -303,8 +303,8 @@
   SoakRequest Q;
   Q.Id_ = "c" + std::to_string(Caller) + "-" + std::to_string(N);
   std::lock_guard Lock(Mutex_);
-  // Of five requests one bears the key that was taken away last, one the one
-  // that goes next.
+  // One request in five uses the most recently removed key, and one in five the
+  // key that will be removed next.
   constexpr std::uint64_t Keys = 5;
   std::uint64_t Key = R.below(Keys);
   Q.Key_ = Key == 0 ? OldKey_ : Key == 1 ? RotatingKey_ : SteadyKey;
--- a/tests/soak/SoakWorld.h
+++ b/tests/soak/SoakWorld.h
@@ -1,15 +1,15 @@
-// The real entries as processes, with stand-ins and proxies around them, and
-// callers that never stop.
+// The soak's environment: real entry processes, stand-ins and proxies around
+// them, and callers that send requests continuously.
 //
 //   SoakWorld W(Options);
-//   W.run();               // faults from the seed's plan, then a calm end
+//   W.run();               // runs the seed's faults, then checks recovery
 //   W.checks().violations();
 //
-// Faults come only from outside: signals to processes, proxies before the store
-// and the endpoints, the stand-ins' modes, and what operators write.
+// Faults are injected only from outside: signals to processes, proxies in front
+// of the store and the endpoints, modes of the stand-ins, and operator writes.
 //
-// The calm end: all faults are lifted, and within RecoverBound every entry is
-// ready again, serves, and has the newest configuration.
+// At the end all faults are cleared; within RecoverBound every entry must be
+// ready, serve requests and have the newest configuration.
 
 #ifndef HAWTHORNROAD_TESTS_SOAK_SOAKWORLD_H
 #define HAWTHORNROAD_TESTS_SOAK_SOAKWORLD_H
@@ -33,8 +33,9 @@
     std::size_t Entries_ = 4;
     std::size_t Callers_ = 6;
   };
-  // The longest freeze may end just before; then a source is sought and the
-  // store read (0.5 to 1.5 s), and a kept key lease must have been renewed.
+  // The longest freeze may end just before. After it, an entry selects a source
+  // and reads the store (0.5 to 1.5 s), and its stored key lease must be
+  // renewed.
   static constexpr Duration RecoverBound = Seconds(8);
 
   explicit SoakWorld(Options O);
@@ -45,7 +46,7 @@
   const std::filesystem::path &logs() const { return Folder_.path(); }
 
 private:
-  // A path and the faults under way on it; the last one that came is in force.
+  // A path and its active faults; the one added last is in force.
   struct Path {
     std::unique_ptr<Proxy> Proxy_;
     std::vector<std::string> Faults_;
@@ -59,14 +60,14 @@
     std::unique_ptr<Process> Process_;
     std::string Settings_;
     int Starts_ = 0;
-    // Faults under way that stop the process; a killed one is not frozen again.
+    // Number of active freeze faults; reset to 0 when the process is restarted.
     int Frozen_ = 0;
   };
   struct Api {
     std::unique_ptr<EndpointStandIn> Endpoint_;
     Path Path_;
   };
-  // What callers may read while entries start anew.
+  // Copy that callers may read while entries are restarted.
   struct Address {
     std::string Callers_;
     std::string Process_;
@@ -76,9 +77,9 @@
   void configure();
   void begin(const SoakFault &F);
   void end(const SoakFault &F);
-  void revive(Entry &E);
-  void calm();
-  bool isWell(const Entry &E, SoakCaller &Caller);
+  void restart(Entry &E);
+  void checkRecovery();
+  bool hasRecovered(const Entry &E, SoakCaller &Caller);
   void callerLoop(std::size_t Number);
   SoakRequest makeRequest(Random &R, std::size_t Caller, std::uint64_t N,
                           std::string &Target);
