--- a/bench/ControlBench.cpp
+++ b/bench/ControlBench.cpp
@@ -1,11 +1,12 @@
-// Cost and speed of membership and configuration by the number of processes.
+// Measures cost and speed of membership and configuration, depending on the
+// number of processes.
 //
 //   build/ControlBench [--seed N] [SIZE...]      (16 64 256 1024 by default)
 //
-// SIZE ControlCores in four zones, one thread, a message loop with a delay of
-// 1 ms and model time: what is measured in time is model time, but for the
-// processor's. Bytes are those of the encoded frames. Prints a table, then one
-// line of JSON.
+// Runs SIZE ControlCores in four zones on one thread, with a message loop that
+// delivers after 1 ms of model time. All times are model time, except processor
+// time. Bytes are those of the encoded frames. Prints a table, then one line of
+// JSON.
 
 #include "hawthornroad/peers/ControlCodec.h"
 #include "tests/unit/ControlLoop.h"
@@ -28,13 +29,13 @@
 
 double seconds(Duration D) { return std::chrono::duration<double>(D).count(); }
 
-struct Spread {
+struct Percentiles {
   double P50_ = 0;
   double P99_ = 0;
   double Max_ = 0;
 };
 
-Spread spreadOf(std::vector<double> Values) {
+Percentiles percentilesOf(std::vector<double> Values) {
   if (Values.empty())
     return {};
   std::sort(Values.begin(), Values.end());
@@ -66,11 +67,11 @@
   double EntryReceived_ = 0;
   double CpuNs_ = 0;
   double TableReads_ = 0;
-  Spread InForce_;
-  Spread Known_;
-  Spread Detected_;
-  Spread DetectedByAll_;
-  double Suspicions_ = 0;
+  Percentiles InForce_;
+  Percentiles Known_;
+  Percentiles Detected_;
+  Percentiles DetectedByAll_;
+  double Refutations_ = 0;
   double FalseDeaths_ = 0;
 };
 
@@ -185,8 +186,8 @@
       Loop_.run(std::max<Duration>(Duration::zero(),
                                    Accepted + ChangeEvery - Loop_.now()));
     }
-    Row_.InForce_ = spreadOf(InForce);
-    Row_.Known_ = spreadOf(Known);
+    Row_.InForce_ = percentilesOf(InForce);
+    Row_.Known_ = percentilesOf(Known);
     Row_.ChangeBytes_ = perProcessSecond(static_cast<double>(Cost_.Bytes_),
                                          Loop_.now() - Start);
   }
@@ -213,8 +214,8 @@
       Loop_.boot(Victim, 2'000'000'000 + I);
       Loop_.run(Seconds(5));
     }
-    Row_.Detected_ = spreadOf(First);
-    Row_.DetectedByAll_ = spreadOf(All);
+    Row_.Detected_ = percentilesOf(First);
+    Row_.DetectedByAll_ = percentilesOf(All);
   }
 
   static bool isLive(ControlLoop::Node &N, const ProcessName &Name) {
@@ -226,7 +227,8 @@
     constexpr Duration Over = Seconds(30);
     Loop_.options().LoadPeriod_ = Milliseconds(500);
     Loop_.EndpointsReport_ = true;
-    // First word of each endpoint has to reach everybody; that is start-up.
+    // The first report of each endpoint must reach all processes; this is part
+    // of start-up.
     Loop_.run(Seconds(90));
     ReportBytes_ = 0;
     Cost_ = {};
@@ -250,16 +252,16 @@
       Loop_.node(I).Changes_.clear();
     Loop_.run(Over);
     std::set<std::pair<ProcessName, Incarnation>> Dead;
-    std::size_t Suspected = 0;
+    std::size_t RefutedCount = 0;
     std::size_t Died = 0;
     for (std::size_t I = 0; I < Loop_.size(); ++I)
       for (const auto &[Change, At] : Loop_.node(I).Changes_) {
-        Suspected += Change.Kind_ == Kind::Refuted ? 1 : 0;
+        RefutedCount += Change.Kind_ == Kind::Refuted ? 1 : 0;
         Died += Change.Kind_ == Kind::Died ? 1 : 0;
       }
     double Minutes = seconds(Over) / 60 * static_cast<double>(Loop_.size());
-    Row_.Suspicions_ = static_cast<double>(Suspected) / Minutes;
-    // Views in which a live member was dead, of all views, a minute.
+    Row_.Refutations_ = static_cast<double>(RefutedCount) / Minutes;
+    // Share of views, per minute, that show a live member as dead.
     Row_.FalseDeaths_ = static_cast<double>(Died) /
                         (Minutes * static_cast<double>(Loop_.size() - 1));
   }
@@ -270,7 +272,7 @@
   Row Row_;
 };
 
-json::object toJson(const Spread &S) {
+json::object toJson(const Percentiles &S) {
   return {{"p50", S.P50_}, {"p99", S.P99_}, {"max", S.Max_}};
 }
 
@@ -289,7 +291,7 @@
           {"known_s", toJson(R.Known_)},
           {"detected_s", toJson(R.Detected_)},
           {"detected_by_all_s", toJson(R.DetectedByAll_)},
-          {"refutations_per_process_min", R.Suspicions_},
+          {"refutations_per_process_min", R.Refutations_},
           {"false_deaths_per_view_min", R.FalseDeaths_}};
 }
 
@@ -303,7 +305,7 @@
               R.Known_.P50_, R.Known_.P99_, R.Known_.Max_);
   std::printf(" %5.2f/%5.2f %5.2f/%5.2f %7.3f %9.6f\n", R.Detected_.P50_,
               R.Detected_.Max_, R.DetectedByAll_.P50_, R.DetectedByAll_.Max_,
-              R.Suspicions_, R.FalseDeaths_);
+              R.Refutations_, R.FalseDeaths_);
   std::fflush(stdout);
 }
 
--- a/bench/EngineModel.cpp
+++ b/bench/EngineModel.cpp
@@ -72,7 +72,7 @@
     Job &J = Jobs_.at(Id);
     double Prefill = J.Work_.PrefillTokens_;
     if (J.Work_.Prefix_ != 0 && touchPrefix(J.Work_.Prefix_))
-      Prefill *= 1 - Setup_.HitSaves_;
+      Prefill *= 1 - Setup_.PrefixHitSaving_;
     J.FirstMark_ = Progress_ + Prefill + 1;
     J.EndMark_ = J.FirstMark_ + J.Work_.Tokens_ - 1;
     Running_.insert(Id);
@@ -86,7 +86,7 @@
   if (IsHit)
     Prefixes_.erase(Found);
   Prefixes_.push_front(Prefix);
-  if (Prefixes_.size() > Setup_.PrefixesKept_)
+  if (Prefixes_.size() > Setup_.PrefixCacheSize_)
     Prefixes_.pop_back();
   ++(IsHit ? Counters_.PrefixHits_ : Counters_.PrefixMisses_);
   return IsHit;
@@ -97,7 +97,8 @@
   if (Marks_.empty())
     return;
   double Left = std::max(0.0, Marks_.begin()->first - Progress_);
-  // One nanosecond more, lest rounding leave the mark just ahead for ever.
+  // One nanosecond more: rounding could otherwise leave the mark just out of
+  // reach for ever.
   Duration Delay = toDuration(Left * stepSeconds()) + Duration(1);
   Events_.after(Delay, [this, Mine] {
     if (Mine == Generation_)
--- a/bench/EngineModel.h
+++ b/bench/EngineModel.h
@@ -1,16 +1,17 @@
-// A deterministic model of one endpoint: an engine that batches continuously,
-// and the agent before it, which takes a bounded number of attempts.
+// A deterministic model of one endpoint: an engine with continuous batching,
+// and the agent in front of it, which accepts a bounded number of attempts.
 //
 //   EventQueue Events(Start);
 //   EngineModel E(Events, Setup);
 //   E.begin(AttemptId, Work, {.OnFirstToken_ = ..., .OnEnd_ = ...});
 //   Events.runUntil(End);
 //
-// All running requests get tokens at one rate, which falls as the batch grows:
-// a token takes TokenTime * (1 + LoadFactor * running / capacity). Work is
-// counted in tokens: the prefill (less on a prefix hit), then the answer's. So
-// the engine's "progress" is one number, and the request with the lowest mark
-// is the next to end: an event costs O(log n).
+// All running requests produce tokens at the same rate, which falls as the
+// batch grows: a token takes TokenSeconds_ * (1 + LoadFactor_ * running /
+// Capacity_). Work is counted in tokens: the prefill (less on a prefix hit),
+// then the answer. The engine's progress is therefore a single number of
+// tokens, and the request with the lowest mark (the progress at which its first
+// token or its end is due) comes next: an event costs O(log n).
 
 #ifndef HAWTHORNROAD_BENCH_ENGINEMODEL_H
 #define HAWTHORNROAD_BENCH_ENGINEMODEL_H
@@ -29,8 +30,8 @@
 
 namespace hawthornroad {
 
-// Runs closures in the order of their times; those of one time in the order in
-// which they were added.
+// Runs closures in order of time; closures due at the same time run in the
+// order in which they were added.
 class EventQueue {
 public:
   explicit EventQueue(TimePoint Start) : Now_(Start) {}
@@ -53,9 +54,9 @@
   std::priority_queue<Event, std::vector<Event>, std::greater<>> Events_;
 };
 
-// What a request asks of an engine.
+// The work that one request gives to an engine.
 struct EngineWork {
-  // 0: a prompt nobody shares.
+  // Identifies a shared prompt prefix; 0: no other request shares the prompt.
   std::uint64_t Prefix_ = 0;
   double PrefillTokens_ = 10;
   double Tokens_ = 50;
@@ -67,16 +68,17 @@
 public:
   struct Setup {
     std::size_t Capacity_ = 8;
-    // Attempts accepted beyond it, which wait; none bounds them when unset.
+    // Attempts beyond Capacity_ wait. At most WaitingShare_ of Capacity_ may
+    // wait when Bounded_ is set, any number otherwise.
     bool Bounded_ = true;
     double WaitingShare_ = 0.25;
     double TokenSeconds_ = 0.02;
     double LoadFactor_ = 0.5;
     double SlowFactor_ = 1;
     bool FailsFast_ = false;
-    std::size_t PrefixesKept_ = 24;
+    std::size_t PrefixCacheSize_ = 24;
     // Share of the prefill that a prefix hit saves.
-    double HitSaves_ = 0.9;
+    double PrefixHitSaving_ = 0.9;
   };
   struct Callbacks {
     std::function<void()> OnFirstToken_;
@@ -90,7 +92,7 @@
   EngineModel(EventQueue &Events, Setup S) : Events_(Events), Setup_(S) {}
 
   void begin(std::uint64_t Id, const EngineWork &W, Callbacks C);
-  // No callback comes after it.
+  // No callback of this attempt is called afterwards.
   void cancel(std::uint64_t Id);
 
   std::size_t running() const { return Running_.size(); }
@@ -126,7 +128,7 @@
   std::set<std::pair<double, std::uint64_t>> Marks_;
   double Progress_ = 0;
   TimePoint Updated_;
-  // Tells a scheduled event that was overtaken from the valid one.
+  // Incremented by each schedule(), so that superseded events are ignored.
   std::uint64_t Generation_ = 0;
   std::list<std::uint64_t> Prefixes_; // most recently used first
 };
--- a/bench/ModelCallers.cpp
+++ b/bench/ModelCallers.cpp
@@ -10,9 +10,9 @@
 constexpr std::size_t SmallCustomers = 8;
 constexpr double SmallShare = 0.025; // of the capacity, each
 constexpr double PrefillTokens = 10;
-constexpr double LeastTokens = 20;
-constexpr double MoreTokens = 30; // mean of the exponential part
-constexpr double MostTokens = 250;
+constexpr double MinTokens = 20;
+constexpr double MeanExtraTokens = 30; // mean of the exponential part
+constexpr double MaxTokens = 250;
 
 } // namespace
 
@@ -43,7 +43,7 @@
   return Customer == 0 ? Rate * std::max(1.0, BurstFactor_) : Rate;
 }
 
-// The first large customer is the one that sends bursts.
+// Only the first large customer sends bursts.
 double ModelCallers::rateAt(std::size_t Customer, Duration SinceStart) const {
   double Rate = Customers_[Customer].Rate_;
   if (Customer != 0)
@@ -55,8 +55,8 @@
 
 EngineWork ModelCallers::drawWork(Random &Rng) const {
   EngineWork W{.PrefillTokens_ = PrefillTokens};
-  double More = -std::log(1 - Rng.unit()) * MoreTokens;
-  W.Tokens_ = std::min(MostTokens, LeastTokens + More);
+  double Extra = -std::log(1 - Rng.unit()) * MeanExtraTokens;
+  W.Tokens_ = std::min(MaxTokens, MinTokens + Extra);
   if (PrefixWeights_.empty())
     return W;
   double At = Rng.unit() * PrefixWeights_.back();
@@ -75,7 +75,7 @@
 
 double capacityOf(const Scenario &S) {
   const EngineModel::Setup Healthy;
-  const double Tokens = PrefillTokens + LeastTokens + MoreTokens;
+  const double Tokens = PrefillTokens + MinTokens + MeanExtraTokens;
   const double Full = Healthy.TokenSeconds_ * (1 + Healthy.LoadFactor_);
   const double Each = static_cast<double>(Healthy.Capacity_) / (Tokens * Full);
   const auto All = static_cast<double>(S.Zones_ * S.EndpointsPerZone_);
--- a/bench/ModelCallers.h
+++ b/bench/ModelCallers.h
@@ -1,12 +1,12 @@
-// The callers of a scenario: customers with their rates, what they ask, and at
-// which entry their requests arrive.
+// The callers of a scenario: customers with their request rates, the work that
+// they request, and the entry at which each request arrives.
 //
 //   ModelCallers C(Scenario, capacityOf(Scenario), Rng);
 //   EngineWork W = C.drawWork(Rng);
 //
-// Two large customers of weight 4 and eight small ones of weight 1. A small one
-// asks for a fixed share of the capacity, well below its fair one; the large
-// ones share what is left of the offered load.
+// There are two large customers of weight 4 and eight small ones of weight 1. A
+// small customer offers a fixed share of the capacity, well below its fair
+// share; the large ones split the rest of the offered load.
 
 #ifndef HAWTHORNROAD_BENCH_MODELCALLERS_H
 #define HAWTHORNROAD_BENCH_MODELCALLERS_H
@@ -23,12 +23,12 @@
 struct ModelCustomer {
   std::string Name_;
   double Weight_ = 1;
-  // Requests a second.
+  // Requests per second.
   double Rate_ = 1;
   bool IsLarge_ = false;
 };
 
-// How much longer a slow endpoint takes.
+// Factor by which a slow endpoint takes longer.
 constexpr double SlowFactor = 4;
 
 struct Scenario {
@@ -36,11 +36,11 @@
   std::size_t Zones_ = 3;
   std::size_t EntriesPerZone_ = 2;
   std::size_t EndpointsPerZone_ = 5;
-  // Offered load in multiples of the capacity.
+  // Offered load as a multiple of the capacity.
   double Load_ = 0.7;
-  double LeastLag_ = 1;
-  double MostLag_ = 5;
-  // Endpoints with these faults, from the first on.
+  double MinLag_ = 1;
+  double MaxLag_ = 5;
+  // Number of endpoints with each fault, counted from the first endpoint on.
   std::size_t SlowEndpoints_ = 0;
   std::size_t FailingEndpoints_ = 0;
   // The first large customer sends BurstFactor times its rate for BurstSeconds
@@ -48,15 +48,15 @@
   double BurstFactor_ = 1;
   double BurstSeconds_ = 5;
   double BurstPeriod_ = 20;
-  // Shared prefixes, popular ones more (Zipf); 0: none are shared.
+  // Number of shared prefixes, drawn by Zipf's law; 0: none are shared.
   std::size_t Prefixes_ = 0;
   double DeadlineSeconds_ = 10;
   double Seconds_ = 90;
   double WarmUpSeconds_ = 15;
 };
 
-// Answers a second of all the scenario's healthy endpoints when each is always
-// full and no prefix is shared; a slow one counts by its speed.
+// Answers per second of all healthy endpoints of the scenario when each is
+// always full and no prefix is shared; a slow endpoint counts by its speed.
 double capacityOf(const Scenario &S);
 
 class ModelCallers {
@@ -64,11 +64,12 @@
   ModelCallers(const Scenario &S, double Capacity, Random &Rng);
 
   const std::vector<ModelCustomer> &customers() const { return Customers_; }
-  // Requests a second at a time since the start, and at most.
+  // Requests per second at a time since the start, and their maximum.
   double rateAt(std::size_t Customer, Duration SinceStart) const;
   double highestRate(std::size_t Customer) const;
   EngineWork drawWork(Random &Rng) const;
-  // Callers hold connections, so a customer's requests come unevenly.
+  // Callers keep connections open, so a customer's requests are spread unevenly
+  // over the entries.
   std::size_t drawEntry(std::size_t Customer, Random &Rng) const;
 
 private:
@@ -76,7 +77,7 @@
   double BurstSeconds_;
   double BurstPeriod_;
   std::vector<ModelCustomer> Customers_;
-  // Running sums of weights, by which to draw.
+  // Cumulative weights for drawing entries (by customer) and prefixes.
   std::vector<std::vector<double>> EntryWeights_;
   std::vector<double> PrefixWeights_;
 };
--- a/bench/ModelResult.cpp
+++ b/bench/ModelResult.cpp
@@ -6,8 +6,9 @@
 namespace hawthornroad {
 
 namespace {
-// Each customer's weighted max-min share of the capacity: fill up in
-// proportion to weights, and give what a satisfied customer leaves to others.
+// Each customer's weighted max-min share of the capacity: capacity is divided
+// in proportion to weights, and what satisfied customers leave goes to the
+// others.
 std::vector<double> maxMinShares(const std::vector<ModelCustomer> &Customers,
                                  const std::vector<double> &Demand,
                                  double Capacity) {
--- a/bench/PathBench.cpp
+++ b/bench/PathBench.cpp
@@ -1,14 +1,16 @@
-// What the path costs: the latency that entry and agent add over a direct call
-// of the same service, and requests a second for each core they use.
+// Measures the cost of the request path: the latency that entry and agent add
+// to a direct call of the same service, and requests per second for each core
+// that they use.
 //
 //   PathBench --entry 127.0.0.1:8080 --direct 127.0.0.1:9000 --service desk
 //             --customer hp-travel --entry-pid 123 --agent-pid 124
 //
-// Daemons and service run already (scripts/bench-path starts them). Latency is
-// measured with one call at a time, direct and through the entry by turns, so
-// that both see the same machine; throughput with --concurrency calls in
-// progress. Each call has a connection of its own on both ways. A call that is
-// not answered 200 counts as failed and ends the run with exit code 1.
+// Daemons and service must be running (scripts/bench-path starts them). Latency
+// is measured with one call at a time, alternating between direct calls and
+// calls through the entry, so that both see the same load of the machine;
+// throughput is measured with --concurrency calls in progress. Each call opens
+// its own connection in both cases. A call that is not answered with status 200
+// counts as failed; the program then exits with code 1.
 // Prints a table and, as the last line, JSON. StreamBench.cpp measures streams.
 
 #include "bench/ProcessUse.h"
@@ -67,7 +69,7 @@
   }
   static HttpRequest directCall() { return {"POST", "/bench", {}, "crew"}; }
 
-  // Milliseconds of one call.
+  // Duration of one call in milliseconds.
   double timeOne(const std::string &Address, HttpRequest R) {
     std::promise<bool> Done;
     auto Future = Done.get_future();
@@ -82,7 +84,7 @@
         .count();
   }
 
-  // Calls answered while Concurrency_ are kept in progress for Seconds_.
+  // Number of calls answered in Seconds_ with Concurrency_ always in progress.
   int runLoop(const std::string &Address, const HttpRequest &R) {
     Answered_ = 0;
     End_ = Clock::now() + std::chrono::seconds(Options_.Seconds_);
--- a/bench/ProcessUse.cpp
+++ b/bench/ProcessUse.cpp
@@ -19,7 +19,8 @@
   std::string Text((std::istreambuf_iterator<char>(File)), {});
   if (Text.empty())
     return 0;
-  // Fields are counted after the name, which is in parentheses.
+  // Fields are counted after the name, which stands in parentheses and may
+  // contain spaces.
   constexpr int UserField = 12;
   std::istringstream Fields(Text.substr(Text.rfind(')') + 1));
   std::string Skipped;
--- a/bench/ProcessUse.h
+++ b/bench/ProcessUse.h
@@ -1,4 +1,4 @@
-// What a running process has used, read from /proc.
+// Processor time and memory used by a running process, read from /proc.
 //
 //   double Before = cpuSeconds(Pid);
 //   ...
@@ -9,8 +9,8 @@
 
 namespace hawthornroad {
 
-// Seconds of processor time that all threads of Pid have used, user and
-// system together. 0 when there is no such process.
+// Processor time of all threads of Pid in seconds, user and system together.
+// 0 when there is no such process.
 double cpuSeconds(int Pid);
 
 // Resident memory of Pid in KiB (VmRSS). 0 when there is no such process.
--- a/bench/RolloutBench.cpp
+++ b/bench/RolloutBench.cpp
@@ -1,15 +1,17 @@
-// Rollouts of one service over N endpoints in zones, in model time: how long
-// until all serve the new version, how many are ready at least, and how often
-// more than MaxUnavailable leave service at once while reports lag and get
-// lost. Each endpoint runs the product's own decision module (RolloutTurn).
+// Measures rollouts of one service over N endpoints in zones, in model time:
+// the time until all serve the new version, the lowest number of ready
+// endpoints, and how often more than MaxUnavailable are out of service at once
+// while reports are delayed and lost. Each endpoint runs the production
+// decision module (RolloutTurn).
 //
 //   RolloutBench [--seeds 20] [--charts charts] [--max-vms 128]
 //
-// Deterministic for a given set of options. Modelled: reports each 500 ms and
-// on change, to each other endpoint of the zone with an own lag (uniform, 0 to
-// twice the mean) and loss; engines read every 300 ms that load in 8 s; drains
-// of 2 s; staging spread over 10 s. Not modelled: gossip's second ways for a
-// lost report (so losses weigh more here), and the transfer itself.
+// Deterministic for a given set of options. Modelled: reports every 500 ms and
+// on change, to each other endpoint of the zone, each with its own lag
+// (uniform, 0 to twice the mean) and loss; engines that load in 8 s and are
+// polled every 300 ms; drains of 2 s; staging spread over 10 s. Not modelled:
+// the redundant paths of gossip for a lost report (so losses have more effect
+// here), and the transfer itself.
 
 #include "hawthornroad/rollout/RolloutTurn.h"
 
@@ -31,17 +33,17 @@
 constexpr Duration LoadTime = Seconds(8);
 constexpr Duration DrainTime = Seconds(2);
 constexpr Duration StagingSpread = Seconds(10);
-// Time the fleet has been up when the new version is declared.
+// Uptime of the fleet when the new version is declared.
 constexpr Duration WarmUp = Seconds(30);
-constexpr Duration GoneAfter = Seconds(3);
+constexpr Duration DeathNoticeDelay = Seconds(3);
 constexpr Duration LongestRun = Seconds(7200);
 const VersionDigest OldVersion("sha256:old");
 const VersionDigest NewVersion("sha256:new");
 
 enum class Plan {
-  Turns,       // the product's
-  AtOnce,      // each leaves as soon as the new version is staged on it
-  StopTheWorld // all leave when the new version is declared
+  Turns,       // as in production
+  AtOnce,      // each leaves service once it has staged the new version
+  StopTheWorld // all leave service when the new version is declared
 };
 
 struct Scenario {
@@ -53,28 +55,29 @@
   Duration Lag_ = Milliseconds(100);
   double Loss_ = 0;
   std::optional<Duration> Settle_;
-  // Endpoints of odd and even number in a zone hear nothing of each other.
-  bool IsCut_ = false;
-  // One VM a zone dies in its turn.
+  // Endpoints of odd and even number in a zone get no reports of each other.
+  bool IsPartitioned_ = false;
+  // One VM per zone dies during its turn.
   bool OneDies_ = false;
   // Share of the endpoints that serve the new version from the start.
-  double AlreadyThere_ = 0;
+  double UpdatedShare_ = 0;
 };
 
 struct Outcome {
   double AllSeconds_ = 0;
   // Lowest share of ready endpoints at any moment.
   double MinReady_ = 1;
-  // Most endpoints of one zone out beyond MaxUnavailable, and for how long.
+  // Most endpoints of one zone out of service beyond MaxUnavailable, and for
+  // how long.
   std::size_t Over_ = 0;
   double OverSeconds_ = 0;
-  // Endpoint seconds out of service.
+  // Sum over all endpoints of the seconds out of service.
   double OutSeconds_ = 0;
 };
 
-using Word = std::shared_ptr<const EndpointStatus>;
+using StatusReport = std::shared_ptr<const EndpointStatus>;
 
-// One endpoint: decisions, engine, and what it has heard of its zone.
+// One endpoint: decision module, engine, and reports received from its zone.
 struct Member {
   std::size_t Zone_ = 0;
   std::unique_ptr<RolloutTurn> Turn_;
@@ -86,17 +89,17 @@
   bool IsDead_ = false;
   TimePoint NextRead_;
   TimePoint NextReport_;
-  EndpointStatus Told_;
-  std::map<Vm, Word> Heard_;
-  bool HasNews_ = false;
+  EndpointStatus LastReport_;
+  std::map<Vm, StatusReport> Received_;
+  bool HasNewReports_ = false;
 };
 
 struct Delivery {
   TimePoint At_;
   std::size_t To_ = 0;
-  Word Word_;
-  // The VM is gone, in place of a report.
-  bool IsGone_ = false;
+  StatusReport Report_;
+  // Sent in place of a report when the VM has died.
+  bool IsDeathNotice_ = false;
   bool operator<(const Delivery &Other) const { return At_ > Other.At_; }
 };
 
@@ -111,8 +114,8 @@
   void stepMember(std::size_t I);
   void stepEngine(Member &M);
   std::size_t runningAttempts(Member &M);
-  void tell(std::size_t I);
-  void send(std::size_t From, const Word &W, bool IsGone);
+  void sendReport(std::size_t I);
+  void send(std::size_t From, const StatusReport &W, bool IsDeathNotice);
   void killOne(std::size_t I);
   void measure();
   bool isReady(const Member &M) const {
@@ -127,7 +130,7 @@
   TimePoint Now_ = Begin_;
   std::vector<Member> Members_;
   std::vector<std::size_t> DeadInZone_;
-  std::priority_queue<Delivery> Underway_;
+  std::priority_queue<Delivery> InTransit_;
   Outcome Outcome_;
 };
 
@@ -152,18 +155,19 @@
     AvailabilityZone Zone("zone-" + std::to_string(M.Zone_));
     M.Turn_ = std::make_unique<RolloutTurn>(
         RolloutTurn::Setup{Name, Zone, 0, Limits}, C, Random_);
-    M.Told_.Vm_ = Name;
-    M.Told_.Zone_ = Zone;
-    M.Told_.Service_ = Service_.Name_;
-    bool IsThere =
-        static_cast<double>(I) < S.AlreadyThere_ * static_cast<double>(S.Vms_);
-    M.Engine_ = {EngineState::Ready, IsThere ? NewVersion : OldVersion, {}, ""};
+    M.LastReport_.Vm_ = Name;
+    M.LastReport_.Zone_ = Zone;
+    M.LastReport_.Service_ = Service_.Name_;
+    bool HasNewVersion =
+        static_cast<double>(I) < S.UpdatedShare_ * static_cast<double>(S.Vms_);
+    M.Engine_ = {
+        EngineState::Ready, HasNewVersion ? NewVersion : OldVersion, {}, ""};
     M.StagedAt_ = Begin_ + Random_.jitter(StagingSpread / 2, 1.0);
     M.NextRead_ = Begin_ - WarmUp + Random_.jitter(ReadPeriod / 2, 1.0);
     M.NextReport_ = Begin_ - WarmUp + Random_.jitter(ReportPeriod / 2, 1.0);
     Members_.push_back(std::move(M));
   }
-  // The fleet has been up for a while when the new version is declared.
+  // The fleet has been up for some time when the new version is declared.
   for (Now_ = Begin_ - WarmUp; Now_ < Begin_; Now_ += ModelStep)
     step();
   for (Member &M : Members_) {
@@ -184,7 +188,7 @@
   M.Turn_->onReading(M.Engine_, Now_);
 }
 
-// Requests end DrainTime after no new ones are taken.
+// Requests end DrainTime after the endpoint stops accepting new ones.
 std::size_t Model::runningAttempts(Member &M) {
   if (M.Turn_->state() != RolloutTurn::State::Draining) {
     M.DrainedAt_.reset();
@@ -202,12 +206,12 @@
     M.Turn_->stage(NewVersion, "/w/new");
   }
   stepEngine(M);
-  if (M.HasNews_) {
+  if (M.HasNewReports_) {
     std::vector<EndpointStatus> Fleet;
-    for (const auto &[Name, W] : M.Heard_)
+    for (const auto &[Name, W] : M.Received_)
       Fleet.push_back(*W);
     M.Turn_->setFleet(Fleet, Now_);
-    M.HasNews_ = false;
+    M.HasNewReports_ = false;
   }
   if (auto Order = M.Turn_->tick(Now_, runningAttempts(M), Now_)) {
     M.Engine_ = {EngineState::Loading, Order->EngineTarget_.Version_,
@@ -215,50 +219,51 @@
     M.LoadedAt_ = Now_ + Random_.jitter(LoadTime, 0.2);
     M.Turn_->onReply(Order->Fencing_, OrderReply::Accepted, Now_);
   }
-  tell(I);
+  sendReport(I);
 }
 
-void Model::tell(std::size_t I) {
+void Model::sendReport(std::size_t I) {
   Member &M = Members_[I];
-  bool Changed = M.Told_.Phase_ != M.Turn_->phase() ||
-                 M.Told_.Rollout_ != M.Turn_->stateName() ||
-                 M.Told_.Version_ != M.Turn_->version();
+  bool Changed = M.LastReport_.Phase_ != M.Turn_->phase() ||
+                 M.LastReport_.Rollout_ != M.Turn_->stateName() ||
+                 M.LastReport_.Version_ != M.Turn_->version();
   if (!Changed && Now_ < M.NextReport_)
     return;
   M.NextReport_ = Now_ + ReportPeriod;
-  M.Told_.Phase_ = M.Turn_->phase();
-  M.Told_.Rollout_ = M.Turn_->stateName();
-  M.Told_.Version_ = M.Turn_->version();
-  ++M.Told_.Sequence_;
-  send(I, std::make_shared<EndpointStatus>(M.Told_), false);
+  M.LastReport_.Phase_ = M.Turn_->phase();
+  M.LastReport_.Rollout_ = M.Turn_->stateName();
+  M.LastReport_.Version_ = M.Turn_->version();
+  ++M.LastReport_.Sequence_;
+  send(I, std::make_shared<EndpointStatus>(M.LastReport_), false);
 }
 
-void Model::send(std::size_t From, const Word &W, bool IsGone) {
+void Model::send(std::size_t From, const StatusReport &W, bool IsDeathNotice) {
   for (std::size_t To = Members_[From].Zone_; To < Members_.size();
        To += Scenario_.Zones_) {
-    bool IsCut = Scenario_.IsCut_ &&
-                 (From / Scenario_.Zones_) % 2 != (To / Scenario_.Zones_) % 2;
-    if (To == From || IsCut)
+    bool IsUnreachable =
+        Scenario_.IsPartitioned_ &&
+        (From / Scenario_.Zones_) % 2 != (To / Scenario_.Zones_) % 2;
+    if (To == From || IsUnreachable)
       continue;
-    if (!IsGone && Random_.unit() < Scenario_.Loss_)
+    if (!IsDeathNotice && Random_.unit() < Scenario_.Loss_)
       continue;
-    Duration Lag =
-        IsGone ? Duration(GoneAfter) : Random_.jitter(Scenario_.Lag_, 1.0);
-    Underway_.push({Now_ + Lag, To, W, IsGone});
+    Duration Lag = IsDeathNotice ? Duration(DeathNoticeDelay)
+                                 : Random_.jitter(Scenario_.Lag_, 1.0);
+    InTransit_.push({Now_ + Lag, To, W, IsDeathNotice});
   }
 }
 
 void Model::deliver() {
-  while (!Underway_.empty() && Underway_.top().At_ <= Now_) {
-    Delivery D = Underway_.top();
-    Underway_.pop();
+  while (!InTransit_.empty() && InTransit_.top().At_ <= Now_) {
+    Delivery D = InTransit_.top();
+    InTransit_.pop();
     Member &M = Members_[D.To_];
-    Word &Known = M.Heard_[D.Word_->Vm_];
-    if (D.IsGone_)
-      M.Heard_.erase(D.Word_->Vm_);
-    else if (!Known || D.Word_->supersedes(*Known))
-      Known = D.Word_;
-    M.HasNews_ = true;
+    StatusReport &Known = M.Received_[D.Report_->Vm_];
+    if (D.IsDeathNotice_)
+      M.Received_.erase(D.Report_->Vm_);
+    else if (!Known || D.Report_->supersedes(*Known))
+      Known = D.Report_;
+    M.HasNewReports_ = true;
   }
 }
 
@@ -269,7 +274,7 @@
     return;
   ++DeadInZone_[M.Zone_];
   M.IsDead_ = true;
-  send(I, std::make_shared<EndpointStatus>(M.Told_), true);
+  send(I, std::make_shared<EndpointStatus>(M.LastReport_), true);
 }
 
 void Model::step() {
@@ -357,7 +362,7 @@
                     .Plan_ = P,
                     .Vms_ = Vms,
                     .MaxUnavailable_ = Max,
-                    .AlreadyThere_ = Already});
+                    .UpdatedShare_ = Already});
   };
   for (std::size_t Vms : {std::size_t{9}, std::size_t{16}}) {
     Add("turns", Plan::Turns, Vms, 1, 0);
@@ -385,7 +390,7 @@
                              std::to_string(static_cast<int>(Loss * 100)) + "%",
                     .Lag_ = Milliseconds(500),
                     .Loss_ = Loss});
-  Made.push_back({.Name_ = "each zone cut in two", .IsCut_ = true});
+  Made.push_back({.Name_ = "each zone cut in two", .IsPartitioned_ = true});
   Made.push_back({.Name_ = "one VM a zone dies loading", .OneDies_ = true});
   return Made;
 }
--- a/bench/RoutingBench.cpp
+++ b/bench/RoutingBench.cpp
@@ -1,4 +1,4 @@
-// Measures the policy of the request path against baselines.
+// Compares the policy of the request path with baselines, in model time.
 //
 //   RoutingBench [--seeds N] [--scenario NAME] [--json FILE] [--no-cost]
 //
@@ -28,7 +28,7 @@
   bool HasCost_ = true;
 };
 
-// One row: a policy in a scenario over all seeds.
+// One row of the table: a policy in a scenario over all seeds.
 struct Row {
   std::string Scenario_;
   std::string Policy_;
@@ -129,7 +129,7 @@
   std::fflush(stdout);
 }
 
-// Nanoseconds of one call of Work, the mean over many.
+// Mean duration of one call of Work in nanoseconds.
 template <class F> double timed(std::size_t Count, F Work) {
   auto Begin = std::chrono::steady_clock::now();
   for (std::size_t I = 0; I < Count; ++I)
--- a/bench/RoutingModel.cpp
+++ b/bench/RoutingModel.cpp
@@ -42,7 +42,8 @@
   std::size_t Failures_ = 0;
   std::set<Vm> Excluded_;
   bool Counted_ = false; // arrived after the warm-up
-  // The attempt in progress: its number, endpoint and start.
+  // The attempt in progress (number and endpoint), and the time at which the
+  // first attempt was dispatched.
   std::uint64_t Attempt_ = 0;
   std::optional<std::size_t> Engine_;
   TimePoint Dispatched_;
@@ -57,11 +58,11 @@
   Chooser Chooser_;
   Admission Admission_;
   RetryBudget Budget_;
-  // For the baselines: each endpoint's last reported load.
+  // Last reported load of each endpoint, for the baselines.
   std::vector<double> Reported_;
   std::vector<std::uint64_t> ReportedSequence_;
-  std::size_t NextInTurn_ = 0;
-  // Admitted, with no endpoint at the moment.
+  std::size_t NextRoundRobin_ = 0;
+  // Admitted requests for which no endpoint is available at the moment.
   std::list<std::uint64_t> Parked_;
 };
 
@@ -90,7 +91,7 @@
   void onEnd(std::uint64_t Number, std::uint64_t Attempt, EngineEnd End);
   void dispatchAgain(std::uint64_t Number);
   void onDeadline(std::uint64_t Number);
-  void leaveEndpoint(ModelRequest &R, Chooser::Result Result);
+  void releaseEndpoint(ModelRequest &R, Chooser::Result Result);
   bool mayRetry(ModelEntry &E, const ModelRequest &R);
   void end(std::uint64_t Number, bool InTime);
   void noteRefused(std::uint64_t Number);
@@ -109,7 +110,7 @@
   const std::vector<ModelCustomer> &Customers_ = Callers_.customers();
   std::vector<EndpointStatus> Statuses_;
   std::vector<std::unique_ptr<EngineModel>> Engines_;
-  // Attempts sent to each endpoint and not ended: the true load.
+  // Attempts sent to each endpoint that have not ended: the true load.
   std::vector<double> Assigned_;
   std::vector<std::unique_ptr<ModelEntry>> Entries_;
   std::unordered_map<std::uint64_t, ModelRequest> Requests_;
@@ -164,7 +165,7 @@
   Declared.Vms_ = {"vm-*"};
   DeclarationBuilder Builder;
   Builder.add(Declared);
-  // Limits that do not bind: what is measured is the queue's fairness.
+  // Limits too high to take effect: the model measures the queue's fairness.
   for (const ModelCustomer &C : Customers_)
     Builder.add(CustomerLimits{Customer(C.Name_), C.Weight_, 1e4, 1e4, 2000});
   auto D = Builder.build();
@@ -177,7 +178,7 @@
     E.Admission_.configure(D, Count);
     E.Reported_.resize(Engines_.size());
     E.ReportedSequence_.resize(Engines_.size());
-    E.NextInTurn_ = Rng_.below(Engines_.size());
+    E.NextRoundRobin_ = Rng_.below(Engines_.size());
     for (const EndpointStatus &Status : Statuses_)
       E.Chooser_.update(Status, Start_);
     Events_.after(Tick, [this, I] { tick(I); });
@@ -191,8 +192,8 @@
   Status.Waiting_ = static_cast<std::uint32_t>(Engines_[Engine]->waiting());
   Status.StepMs_ = static_cast<float>(1e3 * Engines_[Engine]->stepSeconds());
   for (auto &E : Entries_) {
-    double Lag = Scenario_.LeastLag_ +
-                 Rng_.unit() * (Scenario_.MostLag_ - Scenario_.LeastLag_);
+    double Lag = Scenario_.MinLag_ +
+                 Rng_.unit() * (Scenario_.MaxLag_ - Scenario_.MinLag_);
     Events_.after(toDuration(Lag), [this, Engine, Status, Entry = E.get()] {
       Entry->Chooser_.update(Status, Events_.now());
       if (Status.Sequence_ < Entry->ReportedSequence_[Engine])
@@ -204,7 +205,7 @@
   Events_.after(ReportPeriod, [this, Engine] { report(Engine); });
 }
 
-// Poisson arrivals; a rate that varies is thinned from its highest.
+// Poisson arrivals; a varying rate is obtained by thinning the highest rate.
 void Model::scheduleArrival(std::size_t Customer) {
   double Highest = Callers_.highestRate(Customer);
   double Gap = -std::log(1 - Rng_.unit()) / Highest;
@@ -294,7 +295,7 @@
     auto Id = E.Admission_.next(Service, Events_.now());
     if (!Id)
       return;
-    // One whose last attempt an endpoint refused is a retry.
+    // An attempt that follows one refused by an endpoint is a retry.
     if (Requests_.at(Id->Lo_).Attempts_ > 0 &&
         !mayRetry(E, Requests_.at(Id->Lo_)))
       end(Id->Lo_, false);
@@ -308,9 +309,10 @@
   const bool IsOracle = Policy_.Choice_ == ChoiceKind::Oracle;
   std::optional<std::size_t> Best;
   double Least = 0;
-  // From a turning first one, so that equal ones share.
+  // Starts at a rotating position, so that endpoints of equal load are used
+  // equally.
   for (std::size_t K = 0; K < Engines_.size(); ++K) {
-    std::size_t I = (E.NextInTurn_ + K) % Engines_.size();
+    std::size_t I = (E.NextRoundRobin_ + K) % Engines_.size();
     if (Excluded.contains(Statuses_[I].Vm_) || (IsOracle && isFailing(I)))
       continue;
     const EngineModel::Setup &Setup = Engines_[I]->setup();
@@ -332,9 +334,9 @@
     auto V = E.Chooser_.choose(query(R), Events_.now());
     return V ? std::optional(indexOf(*V)) : std::nullopt;
   }
-  E.NextInTurn_ = (E.NextInTurn_ + 1) % Engines_.size();
+  E.NextRoundRobin_ = (E.NextRoundRobin_ + 1) % Engines_.size();
   if (Policy_.Choice_ == ChoiceKind::RoundRobin)
-    return E.NextInTurn_;
+    return E.NextRoundRobin_;
   return pickLeast(E, R.Excluded_);
 }
 
@@ -367,15 +369,15 @@
   ++Assigned_[*Engine];
   E.Chooser_.dispatched(Statuses_[*Engine].Vm_, Events_.now());
   const std::uint64_t Attempt = R.Attempt_;
-  const Duration Way = delay(E, *Engine);
+  const Duration OneWayDelay = delay(E, *Engine);
   EngineModel::Callbacks C;
-  C.OnFirstToken_ = [this, Number, Attempt, Way] {
-    Events_.after(Way, [=, this] { onFirstToken(Number, Attempt); });
+  C.OnFirstToken_ = [this, Number, Attempt, OneWayDelay] {
+    Events_.after(OneWayDelay, [=, this] { onFirstToken(Number, Attempt); });
   };
-  C.OnEnd_ = [this, Number, Attempt, Way](EngineEnd End) {
-    Events_.after(Way, [=, this] { onEnd(Number, Attempt, End); });
+  C.OnEnd_ = [this, Number, Attempt, OneWayDelay](EngineEnd End) {
+    Events_.after(OneWayDelay, [=, this] { onEnd(Number, Attempt, End); });
   };
-  Events_.after(Way, [this, Attempt, E = *Engine, W = R.Work_, C] {
+  Events_.after(OneWayDelay, [this, Attempt, E = *Engine, W = R.Work_, C] {
     Engines_[E]->begin(Attempt, W, C);
   });
 }
@@ -390,7 +392,7 @@
       Statuses_[*R.Engine_].Vm_, Events_.now() - R.Dispatched_, Events_.now());
 }
 
-void Model::leaveEndpoint(ModelRequest &R, Chooser::Result Result) {
+void Model::releaseEndpoint(ModelRequest &R, Chooser::Result Result) {
   --Assigned_[*R.Engine_];
   Entries_[R.Entry_]->Chooser_.finished(Statuses_[*R.Engine_].Vm_, Result,
                                         Events_.now());
@@ -414,18 +416,18 @@
   Vm Where = Statuses_[*R.Engine_].Vm_;
   switch (End) {
   case EngineEnd::Done:
-    leaveEndpoint(R, Chooser::Result::Answered);
+    releaseEndpoint(R, Chooser::Result::Answered);
     end(Number, true);
     break;
   case EngineEnd::Refused:
-    leaveEndpoint(R, Chooser::Result::Refused);
+    releaseEndpoint(R, Chooser::Result::Refused);
     if (!Policy_.HasRetryBudget_)
       dispatchAgain(Number);
     else
       Entries_[Entry]->Admission_.requeue(idOf(Number));
     break;
   case EngineEnd::Failed:
-    leaveEndpoint(R, Chooser::Result::Failed);
+    releaseEndpoint(R, Chooser::Result::Failed);
     ++R.Failures_;
     if (Policy_.HasRetryBudget_)
       R.Excluded_.insert(Where);
@@ -450,7 +452,7 @@
   ModelRequest &R = Found->second;
   if (R.Engine_) {
     Engines_[*R.Engine_]->cancel(R.Attempt_);
-    leaveEndpoint(R, Chooser::Result::Cancelled);
+    releaseEndpoint(R, Chooser::Result::Cancelled);
   }
   std::size_t Entry = R.Entry_;
   end(Number, false);
@@ -472,7 +474,7 @@
     Result_.End_.push_back(toSeconds(Events_.now() - R.Arrival_));
   } else if (R.Counted_) {
     ++Result_.Failed_;
-    // Left out, they would make a policy that loses them look quick.
+    // Without the failed requests, a policy that loses them would look fast.
     Result_.FirstToken_.push_back(Scenario_.DeadlineSeconds_);
     Result_.End_.push_back(Scenario_.DeadlineSeconds_);
   }
@@ -507,7 +509,7 @@
   for (std::size_t C = 0; C < Customers_.size(); ++C)
     scheduleArrival(C);
   Events_.runUntil(Start_ + toDuration(Scenario_.Seconds_));
-  // Those still in progress are no part of the sample.
+  // Requests still in progress are excluded from the sample.
   for (const auto &[Number, R] : Requests_)
     if (R.Counted_) {
       --Result_.Offered_;
--- a/bench/RoutingModel.h
+++ b/bench/RoutingModel.h
@@ -1,12 +1,12 @@
-// Drives the decision modules of the request path with modelled engines, late
-// load reports and open-loop callers, and measures what callers see.
+// Runs the decision modules of the request path against modelled engines,
+// delayed load reports and open-loop callers, and measures what callers see.
 //
 //   ModelResult R = runModel(Scenario, Policy, Seed);
 //
-// Each entry has its own Chooser, Admission and RetryBudget; entries share
-// nothing but the endpoints. A report reaches each entry Lag after it was made,
-// Lag drawn anew for each, so reports also come out of order. It is no
-// simulation of the system: there are no frames, connections or processes.
+// Each entry has its own Chooser, Admission and RetryBudget; entries share only
+// the endpoints. A report reaches each entry after a lag that is drawn anew for
+// each entry and report, so reports also arrive out of order. Only decisions
+// are modelled: there are no frames, connections or processes.
 
 #ifndef HAWTHORNROAD_BENCH_ROUTINGMODEL_H
 #define HAWTHORNROAD_BENCH_ROUTINGMODEL_H
@@ -24,15 +24,17 @@
   Chooser,       // hawthornroad/routing/Chooser.h
   RoundRobin,    // over all ready endpoints
   LeastReported, // lowest load in the last report
-  Oracle         // the true load of this moment
+  Oracle         // the current true load
 };
 
 struct ModelPolicy {
   std::string Name_;
   ChoiceKind Choice_ = ChoiceKind::Chooser;
-  // Admission, and the agents' bound; without them all is sent at once.
+  // Admission, and the agents' bound on attempts; without them each request is
+  // sent at once.
   bool HasLimits_ = true;
-  // Without a budget every failure is tried again, up to MostAttempts.
+  // Without a budget every failure is retried, up to NaiveAttempts attempts
+  // (RoutingModel.cpp).
   bool HasRetryBudget_ = true;
   bool HasAffinity_ = true;
 };
--- a/bench/StreamBench.cpp
+++ b/bench/StreamBench.cpp
@@ -1,17 +1,17 @@
-// What a streamed answer costs: events a second for each core of the entry and
-// of an agent, memory for each open stream, and what the path adds to the gap
-// between two events.
+// Measures the cost of streamed answers: events per second for each core of the
+// entry and of an agent, memory per open stream, and the time that the path
+// adds to the gap between two events.
 //
 //   StreamBench --entry 127.0.0.1:8080 --direct 127.0.0.1:9000 --service lm
 //               --customer bench --entry-pid 123 --agent-pid 124 --streams 560
 //
-// Daemons and engines run already (scripts/bench-path --streams N starts
+// Daemons and engines must be running (scripts/bench-path --streams N starts
 // them); --direct and --agent-pid may be given several times. Keeps --streams
 // completions open, first directly to the engines and then through the entry,
-// --rounds one after another in each place. A gap is taken between one event's
-// arrival at the client and the next one's of the same stream; events that
-// come in one read have a gap of 0. A stream that is not answered 200 with all
-// its events counts as failed and ends the run with exit code 1.
+// --rounds one after another in each slot. A gap is the time between the
+// arrivals of two successive events of one stream at the client; events that
+// arrive in one read have a gap of 0. A stream that is not answered with status
+// 200 and all its events counts as failed; the program then exits with code 1.
 // Prints a table and, as the last line, JSON.
 
 #include "bench/ProcessUse.h"
@@ -33,7 +33,7 @@
 
 namespace po = boost::program_options;
 using Clock = std::chrono::steady_clock;
-// How often memory is read while streams are open.
+// Interval at which memory is read while streams are open.
 constexpr Duration SamplePeriod = Milliseconds(200);
 
 struct Options {
@@ -48,7 +48,7 @@
   int Rounds_ = 3;
 };
 
-// Counts the ends of events, "\n\n", also when a read ends between the two.
+// Counts event terminators ("\n\n"), including those split between two reads.
 class EventCounter {
 public:
   int feed(std::string_view Bytes) {
@@ -65,46 +65,47 @@
   bool AfterNewline_ = false;
 };
 
-// What one way of asking showed.
-struct Seen {
+// Results of one run, either directly or through the entry.
+struct StreamMeasurement {
   std::vector<float> GapsMs_;
   long Events_ = 0;
   int Failed_ = 0;
   double Seconds_ = 0;
 
-  // Share is in percent. Sorts the gaps.
+  // The percentile at Share (in percent) of the gaps, which it sorts.
   double gap(std::size_t Share) {
     if (GapsMs_.empty())
       return 0;
-    auto Place = GapsMs_.begin() +
-                 static_cast<std::ptrdiff_t>(GapsMs_.size() * Share / 100);
-    std::nth_element(GapsMs_.begin(), Place, GapsMs_.end());
-    return *Place;
+    auto Position = GapsMs_.begin() +
+                    static_cast<std::ptrdiff_t>(GapsMs_.size() * Share / 100);
+    std::nth_element(GapsMs_.begin(), Position, GapsMs_.end());
+    return *Position;
   }
 };
 
-// Streams kept open against Addresses_. All but run() is on the IoThread.
-class Load {
+// Keeps streams open to Addresses_. All members but run() run on the IoThread.
+class LoadGenerator {
 public:
-  Load(const Options &O, std::vector<std::string> Addresses, std::string Prefix)
+  LoadGenerator(const Options &O, std::vector<std::string> Addresses,
+                std::string Prefix)
       : Options_(O), Addresses_(std::move(Addresses)),
         Target_(std::move(Prefix) + "/v1/completions") {}
-  ~Load() { Io_.stop(); }
+  ~LoadGenerator() { Io_.stop(); }
 
   // Sample is called every SamplePeriod until the last stream has ended.
-  Seen run(const std::function<void()> &Sample) {
+  StreamMeasurement run(const std::function<void()> &Sample) {
     auto Over = Over_.get_future();
     Clock::time_point Begun = Clock::now();
     Open_ = Options_.Streams_;
-    Seen_.GapsMs_.reserve(static_cast<std::size_t>(Options_.Streams_) *
-                          Options_.Tokens_ * Options_.Rounds_);
-    for (int Place = 0; Place < Options_.Streams_; ++Place)
-      Io_.submit([this, Place] { next(Place, 0); });
+    Measurement_.GapsMs_.reserve(static_cast<std::size_t>(Options_.Streams_) *
+                                 Options_.Tokens_ * Options_.Rounds_);
+    for (int Slot = 0; Slot < Options_.Streams_; ++Slot)
+      Io_.submit([this, Slot] { next(Slot, 0); });
     while (Over.wait_for(SamplePeriod) != std::future_status::ready)
       Sample();
-    Seen_.Seconds_ =
+    Measurement_.Seconds_ =
         std::chrono::duration<double>(Clock::now() - Begun).count();
-    return std::move(Seen_);
+    return std::move(Measurement_);
   }
 
 private:
@@ -114,9 +115,9 @@
     int Events_ = 0;
   };
 
-  HttpRequest request(int Place, int Round) const {
+  HttpRequest request(int Slot, int Round) const {
     boost::json::object Body = {
-        {"prompt", std::to_string(Place) + "/" + std::to_string(Round)},
+        {"prompt", std::to_string(Slot) + "/" + std::to_string(Round)},
         {"max_tokens", Options_.Tokens_},
         {"stream", true}};
     return {"POST",
@@ -126,43 +127,44 @@
             boost::json::serialize(Body)};
   }
 
-  void next(int Place, int Round) {
+  void next(int Slot, int Round) {
     if (Round == Options_.Rounds_) {
       if (--Open_ == 0)
         Over_.set_value();
       return;
     }
     auto S = std::make_shared<Stream>();
-    const std::string &To = Addresses_[Place % Addresses_.size()];
+    const std::string &To = Addresses_[Slot % Addresses_.size()];
     Client_.call(
-        To, request(Place, Round), {},
-        {.OnData_ = [this, S](std::string_view Bytes) { note(*S, Bytes); },
+        To, request(Slot, Round), {},
+        {.OnData_ = [this,
+                     S](std::string_view Bytes) { recordEvents(*S, Bytes); },
          .OnDone_ =
-             [this, S, Place, Round](const HttpResult &R) {
-               // The last event of a whole stream is "[DONE]".
-               bool Whole = R.Response_ && R.Response_->Status_ == 200 &&
-                            S->Events_ == Options_.Tokens_ + 1;
-               Seen_.Failed_ += Whole ? 0 : 1;
-               next(Place, Round + 1);
+             [this, S, Slot, Round](const HttpResult &R) {
+               // The last event of a complete stream is "[DONE]".
+               bool IsComplete = R.Response_ && R.Response_->Status_ == 200 &&
+                                 S->Events_ == Options_.Tokens_ + 1;
+               Measurement_.Failed_ += IsComplete ? 0 : 1;
+               next(Slot, Round + 1);
              }});
   }
 
-  void note(Stream &S, std::string_view Bytes) {
+  void recordEvents(Stream &S, std::string_view Bytes) {
     Clock::time_point Now = Clock::now();
     for (int Left = S.Counter_.feed(Bytes); Left > 0; --Left) {
       if (S.Events_ > 0)
-        Seen_.GapsMs_.push_back(
+        Measurement_.GapsMs_.push_back(
             std::chrono::duration<float, std::milli>(Now - S.Last_).count());
       S.Last_ = Now;
       ++S.Events_;
-      ++Seen_.Events_;
+      ++Measurement_.Events_;
     }
   }
 
   const Options &Options_;
   std::vector<std::string> Addresses_;
   std::string Target_;
-  Seen Seen_;
+  StreamMeasurement Measurement_;
   int Open_ = 0;
   std::promise<void> Over_;
   IoThread Io_{"bench", 16384};
@@ -196,17 +198,18 @@
 }
 
 boost::json::object measure(const Options &O) {
-  Seen Direct = Load(O, O.Direct_, "").run([] {});
+  StreamMeasurement Direct = LoadGenerator(O, O.Direct_, "").run([] {});
   double EntryCpu = cpuSeconds(O.EntryPid_);
   double AgentCpu = agentsOf(O, cpuSeconds);
   double EntryBefore = residentKiB(O.EntryPid_);
   double AgentsBefore = agentsOf(O, residentKiB);
-  double EntryMost = EntryBefore;
-  double AgentsMost = AgentsBefore;
-  Seen Path = Load(O, {O.Entry_}, "/" + O.Service_).run([&] {
-    EntryMost = std::max(EntryMost, residentKiB(O.EntryPid_));
-    AgentsMost = std::max(AgentsMost, agentsOf(O, residentKiB));
-  });
+  double EntryPeak = EntryBefore;
+  double AgentsPeak = AgentsBefore;
+  StreamMeasurement Path =
+      LoadGenerator(O, {O.Entry_}, "/" + O.Service_).run([&] {
+        EntryPeak = std::max(EntryPeak, residentKiB(O.EntryPid_));
+        AgentsPeak = std::max(AgentsPeak, agentsOf(O, residentKiB));
+      });
   EntryCpu = cpuSeconds(O.EntryPid_) - EntryCpu;
   AgentCpu = agentsOf(O, cpuSeconds) - AgentCpu;
   return {{"streams", O.Streams_},
@@ -222,8 +225,8 @@
           {"direct_gap_p95_ms", Direct.gap(95)},
           {"gap_p50_ms", Path.gap(50)},
           {"gap_p95_ms", Path.gap(95)},
-          {"entry_kib_per_stream", (EntryMost - EntryBefore) / O.Streams_},
-          {"agent_kib_per_stream", (AgentsMost - AgentsBefore) / O.Streams_}};
+          {"entry_kib_per_stream", (EntryPeak - EntryBefore) / O.Streams_},
+          {"agent_kib_per_stream", (AgentsPeak - AgentsBefore) / O.Streams_}};
 }
 
 } // namespace
@@ -234,8 +237,8 @@
     for (const auto &Each : Result)
       std::cout << Each.key() << "\t" << Each.value() << "\n";
     std::cout << boost::json::serialize(Result) << std::endl;
-    bool Whole = Result["failed"] == 0 && Result["failed_direct"] == 0;
-    return Whole ? 0 : 1;
+    bool AllSucceeded = Result["failed"] == 0 && Result["failed_direct"] == 0;
+    return AllSucceeded ? 0 : 1;
   } catch (const std::exception &E) {
     std::cerr << "StreamBench: " << E.what() << std::endl;
     return 2;
--- a/bench/WeightsBaselineModel.cpp
+++ b/bench/WeightsBaselineModel.cpp
@@ -10,7 +10,7 @@
   return std::chrono::duration<double>(D).count();
 }
 
-// Parent of VM I in a baseline's tree; Vms_ stands for the origin.
+// Parent of VM I in the tree of a baseline; Vms_ denotes the origin.
 std::size_t parentOf(const ModelSetup &S, Baseline B, std::size_t I) {
   switch (B) {
   case Baseline::AllFromOrigin:
@@ -31,7 +31,7 @@
   return Copies * inSeconds(S.Window_);
 }
 
-ModelResult runBaseline(const ModelSetup &S, Baseline B) {
+TransferResult runBaseline(const ModelSetup &S, Baseline B) {
   double PerChunk = inSeconds(S.Window_) / S.Chunks_;
   double OriginTime = PerChunk / S.OriginCopies_;
   double LinkTime = PerChunk / S.LinkCopies_;
@@ -54,7 +54,7 @@
   }
   std::vector<double> Done(Arrival.begin(), Arrival.end() - 1);
   std::sort(Done.begin(), Done.end());
-  ModelResult R;
+  TransferResult R;
   R.Survivors_ = R.Staged_ = S.Vms_;
   R.HalfSeconds_ = Done[S.Vms_ / 2 - 1];
   R.AllButOneSeconds_ = Done[S.Vms_ - 2];
--- a/bench/WeightsBench.cpp
+++ b/bench/WeightsBench.cpp
@@ -1,9 +1,10 @@
-// Time to N staged replicas, origin copies, upload balance and cost of weight
-// transfer, in model time, against baselines and the lower bound.
+// Measures weight transfer in model time (time to N staged replicas, copies
+// sent by the origin, upload balance and cost) against baselines and the lower
+// bound.
 //
 //   WeightsBench [--max-vms 128] [--zones 3] [--dead 0.05] [--json FILE]
 //
-// Prints a table; --json writes the same figures.
+// Prints a table; --json also writes the figures to a file.
 
 #include "bench/WeightsModel.h"
 
@@ -24,7 +25,7 @@
 struct Row {
   std::string Plan_;
   ModelSetup Setup_;
-  ModelResult Result_;
+  TransferResult Result_;
 };
 
 void printHeader() {
@@ -34,7 +35,7 @@
 }
 
 void printRow(const Row &R) {
-  const ModelResult &M = R.Result_;
+  const TransferResult &M = R.Result_;
   std::printf(
       "%-16s %5zu %5zu %5zu %8.1f %8.1f %8.1f %6.3f %7.3f %7.2f %8.0f %8.0f "
       "%7.1f%s\n",
@@ -47,7 +48,7 @@
 }
 
 boost::json::object toJson(const Row &R) {
-  const ModelResult &M = R.Result_;
+  const TransferResult &M = R.Result_;
   return {{"plan", R.Plan_},
           {"vms", R.Setup_.Vms_},
           {"zones", R.Setup_.Zones_},
@@ -99,8 +100,8 @@
     Out.add({"swarm origin", S, runSwarm(S)});
   }
 }
-// A version of 2.36 MB that the origin sends in 4.3 s and a VM in 2.6 s: links
-// of 4.38 and 7.3 Mbit/s. Three zones as small fleets have, five as large ones.
+// A version of 2.36 MB that the origin sends in 4.3 s and a VM in 2.6 s, over
+// links of 4.38 and 7.3 Mbit/s. Small fleets have three zones, large ones five.
 void measureNarrowOrigin(Report &Out, std::uint64_t Seed, double Dead) {
   struct Fleet {
     std::size_t Vms_;
--- a/bench/WeightsModel.cpp
+++ b/bench/WeightsModel.cpp
@@ -16,9 +16,9 @@
 namespace {
 constexpr std::uint64_t ModelChunkSize = 1000;
 constexpr Duration TickPeriod = Milliseconds(50);
-// A transfer that takes this many windows is given up as stuck.
+// A transfer that takes this many windows is aborted as stuck.
 constexpr int MaxWindows = 6;
-// Bytes of one message beside its list of chunks: headers and the version.
+// Bytes of one message without its list of chunks: headers and the version.
 constexpr double MessageOverhead = 120;
 constexpr double ChunkIndexBytes = 4;
 
@@ -29,7 +29,7 @@
   return std::chrono::duration<double>(D).count();
 }
 
-// A manifest of the model's chunks; its digests are never checked.
+// A manifest of the model's chunks; its digests are not checked.
 Manifest modelManifest(ChunkIndex Chunks) {
   std::string Digest = sha256("model");
   std::string Text = R"({"format":1,"model":"model","size":)" +
@@ -42,16 +42,16 @@
   return Manifest::parse(Text, VersionDigest(sha256(Text)), "model");
 }
 
-// One direction of a link: carries one chunk after another.
+// One direction of a link; transfers one chunk after another.
 struct Link {
   struct Sending {
     Link *To_;
     std::function<void()> Arrived_;
   };
   Duration PerChunk_{};
-  // When all that others have begun to send here has come in.
+  // Time at which all chunks that others have begun to send here have arrived.
   TimePoint FreeAt_{};
-  // Chunks to send, the first of them on its way.
+  // Chunks to send; the first one is being sent.
   std::deque<Sending> Waiting_;
 };
 
@@ -61,7 +61,7 @@
   UploadScheduler Uploads_{{}, 0};
   Link Up_;
   Link Down_;
-  bool Dead_ = false;
+  bool IsDead_ = false;
   std::optional<TimePoint> DoneAt_;
   std::size_t Sent_ = 0;
 };
@@ -93,9 +93,9 @@
     planDeaths();
   }
 
-  ModelResult run() {
+  TransferResult run() {
     TimePoint End = Now_ + Setup_.Window_ * MaxWindows;
-    while (!Events_.empty() && Left_ > 0) {
+    while (!Events_.empty() && Unfinished_ > 0) {
       Event Next = Events_.top();
       if (Next.At_ > End)
         break;
@@ -116,7 +116,7 @@
                                         ChunkSet(Setup_.Chunks_), Now_);
     ByName_[V->Name_.Vm_] = I;
     Vms_.push_back(std::move(V));
-    ++Left_;
+    ++Unfinished_;
   }
 
   Swarm::Setup swarmSetup(const SwarmPeer &Self) {
@@ -133,7 +133,7 @@
   std::vector<SwarmPeer> livePeers() const {
     std::vector<SwarmPeer> Out;
     for (const auto &V : Vms_)
-      if (!V->Dead_)
+      if (!V->IsDead_)
         Out.push_back(V->Name_);
     return Out;
   }
@@ -151,12 +151,12 @@
 
   void die(std::size_t I) {
     if (!Vms_[I]->DoneAt_)
-      --Left_;
-    Vms_[I]->Dead_ = true;
+      --Unfinished_;
+    Vms_[I]->IsDead_ = true;
     after(Setup_.DetectAfter_, [this] {
       std::vector<SwarmPeer> Live = livePeers();
       for (std::size_t J = 0; J < Vms_.size(); ++J)
-        if (!Vms_[J]->Dead_)
+        if (!Vms_[J]->IsDead_)
           decide(J, [&](Swarm &S) { S.setPeers(Live, Now_); });
     });
   }
@@ -168,25 +168,25 @@
     Events_.push({When, ++Order_, std::move(Do)});
   }
 
-  // Runs a call into VM I's decision modules, and counts its time.
+  // Calls VM I's decision modules and adds up the processor time.
   template <class Fn> void decide(std::size_t I, Fn Do) {
     auto Start = std::chrono::steady_clock::now();
     Do(*Vms_[I]->Swarm_);
     Cpu_ += std::chrono::steady_clock::now() - Start;
   }
 
-  // Delivers a message to VM I; it is lost when the VM is dead by then.
+  // Delivers a message to VM I; it is lost if the VM has died in the meantime.
   void message(std::size_t I, double Bytes, std::function<void()> Do) {
     ++Messages_;
     Bytes_ += MessageOverhead + Bytes;
     after(Setup_.Latency_, [this, I, Do = std::move(Do)] {
-      if (!Vms_[I]->Dead_)
+      if (!Vms_[I]->IsDead_)
         Do();
     });
   }
 
   void tick(std::size_t I) {
-    if (Vms_[I]->Dead_)
+    if (Vms_[I]->IsDead_)
       return;
     std::vector<SwarmAction> Actions;
     decide(I, [&](Swarm &S) { Actions = S.tick(Now_); });
@@ -235,9 +235,9 @@
     }
   }
 
-  // Puts a chunk on the sender's link after those before it. The receiver's
-  // link is taken only when the sending begins: a chunk still waiting at the
-  // sender must not hold up what comes from others.
+  // Queues a chunk on the sender's link. The receiver's link is occupied only
+  // once sending begins: a chunk that still waits at the sender must not delay
+  // chunks from other senders.
   void send(Link &Sender, Link &Receiver, std::function<void()> Arrived) {
     Sender.Waiting_.push_back({&Receiver, std::move(Arrived)});
     if (Sender.Waiting_.size() == 1)
@@ -259,10 +259,10 @@
   }
 
   void arrive(std::size_t From, std::size_t To, const Upload &U) {
-    if (Vms_[From]->Dead_)
+    if (Vms_[From]->IsDead_)
       return;
     ++Vms_[From]->Sent_;
-    if (!Vms_[To]->Dead_) {
+    if (!Vms_[To]->IsDead_) {
       decide(To, [&](Swarm &S) {
         S.onChunk(U.Chunk_, Vms_[From]->Name_.Vm_, Now_);
       });
@@ -281,13 +281,13 @@
     if (V.DoneAt_ || !V.Swarm_->isDone())
       return;
     V.DoneAt_ = Now_;
-    --Left_;
+    --Unfinished_;
   }
 
   void act(std::size_t I, const ReadOrigin &A) {
     ++OriginReads_;
     send(Origin_, Vms_[I]->Down_, [this, I, C = A.Chunk_] {
-      if (Vms_[I]->Dead_)
+      if (Vms_[I]->IsDead_)
         return;
       decide(I, [&](Swarm &S) { S.onOrigin(C, OriginReadResult::Good, Now_); });
       noteDone(I);
@@ -299,7 +299,7 @@
     bool Won = Ledger_.insert(A.Grant_).second || Setup_.HasNarrowOrigin_;
     ++Messages_;
     after(Setup_.Latency_ * 2, [this, I, G = A.Grant_, Won] {
-      if (Vms_[I]->Dead_)
+      if (Vms_[I]->IsDead_)
         return;
       decide(I, [&](Swarm &S) {
         S.onClaim(G, Won ? ClaimResult::Won : ClaimResult::Lost, Now_);
@@ -311,7 +311,7 @@
   void act(std::size_t I, const CheckOrigin &) {
     ++Messages_;
     after(Setup_.Latency_ * 2, [this, I] {
-      if (!Vms_[I]->Dead_)
+      if (!Vms_[I]->IsDead_)
         decide(I, [&](Swarm &S) { S.onOriginChecked(true, Now_); });
     });
   }
@@ -345,13 +345,13 @@
             });
   }
 
-  ModelResult result() const {
-    ModelResult R;
+  TransferResult result() const {
+    TransferResult R;
     std::vector<double> Done;
     std::size_t Most = 0;
     std::size_t Sum = 0;
     for (const auto &V : Vms_) {
-      if (V->Dead_)
+      if (V->IsDead_)
         continue;
       ++R.Survivors_;
       Most = std::max(Most, V->Sent_);
@@ -389,7 +389,7 @@
   std::map<Vm, std::size_t> ByName_;
   std::set<Grant> Ledger_;
   Link Origin_;
-  std::size_t Left_ = 0;
+  std::size_t Unfinished_ = 0;
   std::size_t OriginReads_ = 0;
   std::size_t Messages_ = 0;
   double Bytes_ = 0;
@@ -397,6 +397,6 @@
 };
 } // namespace
 
-ModelResult runSwarm(const ModelSetup &S) { return Fleet(S).run(); }
+TransferResult runSwarm(const ModelSetup &S) { return Fleet(S).run(); }
 
 } // namespace hawthornroad
--- a/bench/WeightsModel.h
+++ b/bench/WeightsModel.h
@@ -1,15 +1,17 @@
-// A fleet in model time: the decision modules of weights/ on every VM, shaped
-// links between them. Deterministic: same setup, same result.
+// Models a fleet in model time: the decision modules of weights/ on every VM
+// and links of limited rate between them. Deterministic: the same setup gives
+// the same result (but for CpuMilliseconds_).
 //
-//   ModelResult R = runSwarm({.Vms_ = 128, .Zones_ = 3});
+//   TransferResult R = runSwarm({.Vms_ = 128, .Zones_ = 3});
 //
-// The links. The origin sends one chunk after another, in the order of the
-// requests, OriginCopies_ copies a window. A VM sends one chunk after another
-// at LinkCopies_ copies a window and receives likewise; a chunk occupies both
-// ends. Messages take Latency_ and no capacity. A VM that dies falls silent;
-// the others drop it from their view after DetectAfter_. What the model leaves
-// out: shared links between zones, loss, time to hash and store, live traffic
-// (the window is what live traffic leaves).
+// Links: the origin sends one chunk after another, in the order of the
+// requests, at OriginCopies_ copies per window. A VM sends one chunk after
+// another at LinkCopies_ copies per window and receives at the same rate; a
+// chunk occupies both ends. Messages take Latency_ and use no capacity. A VM
+// that dies sends nothing more; the others drop it from their view after
+// DetectAfter_. Not modelled: shared links between zones, loss, time to hash
+// and store, and live traffic (the window stands for the capacity that live
+// traffic leaves).
 
 #ifndef HAWTHORNROAD_BENCH_WEIGHTSMODEL_H
 #define HAWTHORNROAD_BENCH_WEIGHTSMODEL_H
@@ -26,7 +28,7 @@
   ChunkIndex Chunks_ = 2048;
   RolloutPreference Preference_ = RolloutPreference::Time;
   double Budget_ = 3.3;
-  // Share of the VMs that die at random moments of the transfer.
+  // Share of the VMs that die at random times during the transfer.
   double DeadShare_ = 0;
   double OriginCopies_ = 4;
   double LinkCopies_ = 2;
@@ -36,40 +38,42 @@
   std::uint64_t Seed_ = 1;
   ChunkPlan::Limits Plan_ = {};
   HaveExchange::Limits Exchange_ = {};
-  // The fleet of a narrow origin: the swarms are set as agents set theirs
-  // (weights/OriginSwarm), there is no ledger, the origin is in the first zone.
-  // Plan_, Exchange_, Preference_ and Budget_ do not count then.
+  // Models a fleet whose origin has little bandwidth: swarms are configured as
+  // agents configure theirs (weights/OriginSwarm), there is no ledger, and the
+  // origin is in the first zone. Plan_, Exchange_, Preference_ and Budget_ are
+  // then ignored.
   bool HasNarrowOrigin_ = false;
 };
 
-struct ModelResult {
+struct TransferResult {
   std::size_t Survivors_ = 0;
   std::size_t Staged_ = 0;
   // Seconds until half, all but one, and all survivors hold every chunk;
-  // negative when it never came to that.
+  // negative when that was not reached.
   double HalfSeconds_ = -1;
   double AllButOneSeconds_ = -1;
   double AllSeconds_ = -1;
-  // Lower bound of AllSeconds_ on these links.
+  // Lower bound of AllSeconds_ for these links.
   double BoundSeconds_ = 0;
   double OriginCopies_ = 0;
-  // Chunks sent by the busiest VM over the mean.
+  // Chunks sent by the busiest VM, divided by the mean of all VMs.
   double UploadMaxOverMean_ = 0;
-  // Of one VM on average, chunk bytes left out.
+  // Mean per VM, without the bytes of chunks.
   double Messages_ = 0;
   double MessageBytes_ = 0;
-  // Time of the processor spent in the decision modules, a VM.
+  // Processor time spent in the decision modules, per VM.
   double CpuMilliseconds_ = 0;
 };
 
 // max(S/origin, S/down, N*S/(origin + N*up)).
 double lowerBoundSeconds(const ModelSetup &S);
 
-ModelResult runSwarm(const ModelSetup &S);
+TransferResult runSwarm(const ModelSetup &S);
 
-// Baselines: fixed trees, each VM fed by one parent, chunks in order.
+// Baselines: fixed trees in which each VM receives all chunks, in order, from
+// one parent.
 enum class Baseline { AllFromOrigin, Chain, SeedPerZone };
-ModelResult runBaseline(const ModelSetup &S, Baseline B);
+TransferResult runBaseline(const ModelSetup &S, Baseline B);
 
 } // namespace hawthornroad
 
--- a/tests/unit/NarrowOriginTest.cpp
+++ b/tests/unit/NarrowOriginTest.cpp
@@ -49,7 +49,7 @@
   };
   for (const Row &R : {Row{9, 3, 1.25}, Row{58, 3, 1.4}, Row{265, 5, 1.55}}) {
     INFO(R.Vms_ << " VMs");
-    ModelResult M = runSwarm(fleet(R.Vms_, R.Zones_));
+    TransferResult M = runSwarm(fleet(R.Vms_, R.Zones_));
     CHECK(M.Staged_ == M.Survivors_);
     CHECK(M.OriginCopies_ <= 1.05);
     CHECK(M.AllSeconds_ <= R.MaxOverBound_ * M.BoundSeconds_);
@@ -64,7 +64,7 @@
     INFO(Vms << " VMs");
     ModelSetup S = fleet(Vms, 5);
     S.DeadShare_ = 0.05;
-    ModelResult M = runSwarm(S);
+    TransferResult M = runSwarm(S);
     CHECK(M.Staged_ == M.Survivors_);
     CHECK(M.OriginCopies_ <= 1.25);
     CHECK(M.AllSeconds_ <= 1.7 * M.BoundSeconds_);
