--- a/hawthornroad/entry/EntryCalls.cpp
+++ b/hawthornroad/entry/EntryCalls.cpp
@@ -16,7 +16,7 @@
 
 void DirectEntry::State::onRequest(const std::shared_ptr<ServerSession> &S,
                                    InboundRequest R) {
-  if (platform::isReadyQuestion(R))
+  if (platform::isReadinessProbe(R))
     return answerReady(*S);
   CallNumber N = NextCall_++;
   S->setTag(N);
@@ -24,7 +24,7 @@
   Core_.arrive(N, platform::decodeCall(std::move(R)), bootNow());
 }
 
-void DirectEntry::State::onCallerGone(ServerSession &S) {
+void DirectEntry::State::onCallerDisconnected(ServerSession &S) {
   CallNumber N = S.tag();
   Sessions_.erase(N);
   Core_.callerGone(N, bootNow());
@@ -35,7 +35,7 @@
   return Found == Sessions_.end() ? nullptr : Found->second.get();
 }
 
-std::shared_ptr<ServerSession> DirectEntry::State::release(CallNumber N) {
+std::shared_ptr<ServerSession> DirectEntry::State::takeSession(CallNumber N) {
   auto Found = Sessions_.find(N);
   if (Found == Sessions_.end())
     return nullptr;
@@ -46,13 +46,13 @@
 
 void DirectEntry::State::respond(CallNumber N, unsigned Status,
                                  const HeaderFields &Fields, std::string Body) {
-  if (auto S = release(N))
+  if (auto S = takeSession(N))
     S->respond(Status, Fields, std::move(Body));
 }
 
 void DirectEntry::State::refuse(CallNumber N, const Call &C, unsigned Status,
                                 Cause Why, Duration RetryAfter) {
-  auto S = release(N);
+  auto S = takeSession(N);
   if (!S)
     return;
   HeaderFields Fields = platform::refusalHeaders(C);
@@ -75,19 +75,19 @@
 }
 
 void DirectEntry::State::finishStream(CallNumber N) {
-  if (auto S = release(N))
+  if (auto S = takeSession(N))
     S->finish();
 }
 
 void DirectEntry::State::abortStream(CallNumber N) {
-  if (auto S = release(N))
+  if (auto S = takeSession(N))
     S->abort();
 }
 
 // ---- Endpoints --------------------------------------------------------------
 
 void DirectEntry::State::beginAttempt(AttemptNumber A, const Call &C,
-                                      const AttemptOrder &O) {
+                                      const AttemptParams &O) {
   auto Link = Links_.take(O.Endpoint_.str(), O.Address_);
   Attempts_[A] = {Link, O.Endpoint_.str()};
   ClientLink::Events E;
@@ -101,7 +101,7 @@
   E.OnEnd_ = [this, A](bool) {
     auto Found = Attempts_.find(A);
     if (Found != Attempts_.end()) {
-      Links_.giveBack(Found->second.Endpoint_, Found->second.Link_);
+      Links_.putBack(Found->second.Endpoint_, Found->second.Link_);
       Attempts_.erase(Found);
     }
     Core_.onEnd(A, bootNow());
@@ -126,31 +126,31 @@
 
 // ---- Log --------------------------------------------------------------------
 
-void DirectEntry::State::tell(const AttemptReport &R) {
+void DirectEntry::State::report(const AttemptReport &R) {
   LogLine L("attempt");
   L.text("request", R.Id_)
-      .text("what", R.What_)
+      .text("what", R.Event_)
       .text("endpoint", R.Endpoint_.str())
       .text("address", R.Address_)
       .count("ordinal", R.Ordinal_);
-  if (R.What_ == "begun") {
-    L.number("load", R.Belief_.Load_)
-        .number("unread", R.Belief_.Unread_)
-        .count("own", R.Belief_.Own_)
-        .count("places", R.Belief_.Places_)
-        .count("version", R.Belief_.Version_);
-    if (R.Belief_.ReportAge_)
-      L.millis("load_age_ms", *R.Belief_.ReportAge_);
+  if (R.Event_ == "begun") {
+    L.number("load", R.EndpointView_.Load_)
+        .number("unread", R.EndpointView_.Unread_)
+        .count("own", R.EndpointView_.Own_)
+        .count("places", R.EndpointView_.Places_)
+        .count("version", R.EndpointView_.Version_);
+    if (R.EndpointView_.ReportAge_)
+      L.millis("load_age_ms", *R.EndpointView_.ReportAge_);
   } else {
-    L.text("why", R.Why_).flag("may_have_run", R.MayHaveRun_);
+    L.text("why", R.Reason_).flag("may_have_run", R.MayHaveRun_);
     L.millis("took_ms", R.Took_);
     Metrics_.count("hawthornroad_attempts_total",
-                   {{"end", std::string(R.What_)}});
+                   {{"end", std::string(R.Event_)}});
   }
   Log_.write(L);
 }
 
-void DirectEntry::State::tell(const CallReport &R) {
+void DirectEntry::State::report(const CallReport &R) {
   LogLine L("request");
   L.text("request", R.Id_)
       .text("route", R.Route_)
@@ -163,9 +163,9 @@
       .text("endpoint", R.LastEndpoint_.str())
       .count("config", R.ConfigVersion_)
       .count("events", R.Events_)
-      .millis("gone_ms", R.Gone_)
+      .millis("gone_ms", R.ElapsedBefore_)
       .millis("waited_ms", R.Waited_)
-      .millis("whole_ms", R.Whole_);
+      .millis("whole_ms", R.Total_);
   if (R.ConfigAge_)
     L.millis("config_age_ms", *R.ConfigAge_);
   if (R.FirstByte_)
--- a/hawthornroad/peers/AttemptCodec.h
+++ b/hawthornroad/peers/AttemptCodec.h
@@ -1,4 +1,8 @@
-// Between the request path's types and the Attempt* messages of the wire.
+// Converts between the request path's message types and the Attempt* messages
+// of the wire protocol.
+//
+//   FrameBuffer Frame = toFrame(Begin);
+//   if (auto Update = toAttemptUpdate(Received, Sender)) ...
 
 #ifndef HAWTHORNROAD_PEERS_ATTEMPTCODEC_H
 #define HAWTHORNROAD_PEERS_ATTEMPTCODEC_H
@@ -12,12 +16,12 @@
 
 FrameBuffer toFrame(const BeginAttempt &B);
 FrameBuffer toFrame(const CancelAttempt &C);
-FrameBuffer toFrame(const AskAttempt &A);
+FrameBuffer toFrame(const QueryAttempt &A);
 FrameBuffer toFrame(const AckAttempt &A);
 
-// Nullopt when the frame is no word of an attempt.
-std::optional<AttemptWord> toAttemptWord(const wire::FrameT &Frame,
-                                         Incarnation From);
+// Nullopt when the frame carries no update about an attempt.
+std::optional<AttemptUpdate> toAttemptUpdate(const wire::FrameT &Frame,
+                                             Incarnation From);
 
 } // namespace hawthornroad
 
--- a/hawthornroad/transfer/WeightSwarm.cpp
+++ b/hawthornroad/transfer/WeightSwarm.cpp
@@ -33,8 +33,8 @@
       Manifest_(M), Swarm_(Setup_.Swarm_, M, toSet(Held), Now),
       Download_(Setup_.DownloadRate_), Token_(N.Token_) {
   Swarm_.budget().restore(N.Charges_);
-  // The token tells this VM's claims from those of a predecessor whose note is
-  // gone, and whose charges are therefore unknown.
+  // The token distinguishes this agent's claims from those of a predecessor on
+  // this VM whose note is lost and whose charges are therefore unknown.
   if (Token_.empty()) {
     Random R(Setup_.Swarm_.Seed_);
     Token_ = Setup_.Swarm_.Self_.Vm_.str() + " " + std::to_string(R.next()) +
@@ -86,12 +86,12 @@
   Request.index = A.Fetch_.Chunk_;
   Request.vm = Setup_.Swarm_.Self_.Vm_.str();
   if (!sendTo(A.Fetch_.From_, makeFrame(std::move(Request))))
-    Swarm_.onRefused(A.Fetch_.Chunk_, A.Fetch_.From_, FetchEnd::Lost, Now);
+    Swarm_.onRefused(A.Fetch_.Chunk_, A.Fetch_.From_, FetchResult::Lost, Now);
 }
 
 void WeightSwarm::run(const ReadOrigin &A, TimePoint Now) {
   Download_.take(Manifest_.chunkSpan(A.Chunk_).Length_, Now);
-  bool Queued = runOnFile<bool>(
+  bool Queued = runOnFileThread<bool>(
       Work_, weak_from_this(),
       [Version = version(), Text = note().str()](ChunkStore &Store) {
         Store.writeNote(Version, Text);
@@ -99,15 +99,15 @@
       },
       [this, Index = A.Chunk_](FileOutcome<bool> Out, TimePoint Later) {
         if (Out.Result_)
-          return readNoted(Index);
-        Failure_ = Out.Why_;
-        Swarm_.onOrigin(Index, OriginEnd::Nothing, Later);
+          return readRecorded(Index);
+        Failure_ = Out.Reason_;
+        Swarm_.onOrigin(Index, OriginReadResult::Nothing, Later);
       });
   if (!Queued)
-    Swarm_.onOrigin(A.Chunk_, OriginEnd::Nothing, Now);
+    Swarm_.onOrigin(A.Chunk_, OriginReadResult::Nothing, Now);
 }
 
-void WeightSwarm::readNoted(ChunkIndex Index) {
+void WeightSwarm::readRecorded(ChunkIndex Index) {
   Origin_.readChunk(Manifest_.blob(), Manifest_.chunkSpan(Index),
                     weak_from_this(),
                     [this, Index](OriginAnswer A, TimePoint Now) {
@@ -117,41 +117,43 @@
 
 void WeightSwarm::onOriginBytes(ChunkIndex Index, OriginAnswer A,
                                 TimePoint Now) {
-  if (A.End_ != OriginEnd::Good) {
-    Failure_ = A.Why_;
+  if (A.End_ != OriginReadResult::Good) {
+    Failure_ = A.Reason_;
     Swarm_.onOrigin(Index, A.End_, Now);
     return;
   }
   OriginBytes_ += A.Bytes_.size();
   Work_.Metrics_.count("hawthornroad_weights_origin_bytes_total", {},
                        static_cast<double>(A.Bytes_.size()));
-  keep(Index, std::move(A.Bytes_), Origin_.origin(),
-       [this, Index](const std::string &Why, TimePoint Later) {
-         Swarm_.onOrigin(
-             Index, Why.empty() ? OriginEnd::Good : OriginEnd::Wasted, Later);
-         pump(Later);
-       });
-}
-
-void WeightSwarm::keep(ChunkIndex Index, std::string Bytes,
-                       const std::string &Sender,
-                       std::function<void(std::string, TimePoint)> Then) {
-  runOnFile<bool>(
+  verifyAndStore(Index, std::move(A.Bytes_), Origin_.origin(),
+                 [this, Index](const std::string &Reason, TimePoint Later) {
+                   Swarm_.onOrigin(Index,
+                                   Reason.empty() ? OriginReadResult::Good
+                                                  : OriginReadResult::Wasted,
+                                   Later);
+                   pump(Later);
+                 });
+}
+
+void WeightSwarm::verifyAndStore(
+    ChunkIndex Index, std::string Bytes, const std::string &Sender,
+    std::function<void(std::string, TimePoint)> OnDone) {
+  runOnFileThread<bool>(
       Work_, weak_from_this(),
       [Version = version(), Index, Bytes = std::move(Bytes),
        Sender](ChunkStore &Store) {
         Store.write(Version, Index, Bytes, Sender);
         return true;
       },
-      [this, Then = std::move(Then)](const FileOutcome<bool> &Out,
-                                     TimePoint Now) {
-        Failure_ = Out.Why_;
+      [this, OnDone = std::move(OnDone)](const FileOutcome<bool> &Out,
+                                         TimePoint Now) {
+        Failure_ = Out.Reason_;
         if (!Out.Result_) {
           Work_.Metrics_.count("hawthornroad_weights_chunks_refused_total");
-          log(LogLevel::Warning, Step::Verify, "chunk refused",
-              {{"version", version().str()}, {"detail", Out.Why_}});
+          log(LogLevel::Warning, Step::Verify, "chunk rejected",
+              {{"version", version().str()}, {"detail", Out.Reason_}});
         }
-        Then(Out.Why_, Now);
+        OnDone(Out.Reason_, Now);
       });
 }
 
@@ -174,7 +176,8 @@
 void WeightSwarm::run(const CheckOrigin &, TimePoint) {
   Origin_.readChunk(Manifest_.blob(), {0, 1}, weak_from_this(),
                     [this](const OriginAnswer &A, TimePoint Now) {
-                      Swarm_.onOriginChecked(A.End_ == OriginEnd::Good, Now);
+                      Swarm_.onOriginChecked(A.End_ == OriginReadResult::Good,
+                                             Now);
                       pump(Now);
                     });
 }
@@ -191,11 +194,11 @@
   Have.manifest = version().str();
   Have.vm = Setup_.Swarm_.Self_.Vm_.str();
   Have.uploads = static_cast<std::uint32_t>(Setup_.Load_());
-  if (A.News_.Whole_)
+  if (A.Update_.IsFullBitmap_)
     Have.bitmap = held().bytes();
   else
-    Have.added = A.News_.Added_;
-  sendTo(A.News_.To_, makeFrame(std::move(Have)));
+    Have.added = A.Update_.Added_;
+  sendTo(A.Update_.To_, makeFrame(std::move(Have)));
 }
 
 void WeightSwarm::onAsk(const Vm &From, TimePoint Now) {
@@ -216,21 +219,22 @@
                           TimePoint Now) {
   ChunkIndex Index = Reply.index;
   if (Index >= held().size() || held().has(Index))
-    return Swarm_.onRefused(Index, From, FetchEnd::Missing, Now);
+    return Swarm_.onRefused(Index, From, FetchResult::Missing, Now);
   if (!Reply.error.empty()) {
-    FetchEnd End =
-        Reply.error == ReplyBusy ? FetchEnd::Busy : FetchEnd::Missing;
+    FetchResult End =
+        Reply.error == ReplyBusy ? FetchResult::Busy : FetchResult::Missing;
     Swarm_.onRefused(Index, From, End, Now);
     return pump(Now);
   }
-  keep(Index, std::string(Reply.bytes.begin(), Reply.bytes.end()), From.str(),
-       [this, Index, From](const std::string &Why, TimePoint Later) {
-         if (Why.empty())
-           Swarm_.onChunk(Index, From, Later);
-         else
-           Swarm_.onRefused(Index, From, FetchEnd::Bad, Later);
-         pump(Later);
-       });
+  verifyAndStore(
+      Index, std::string(Reply.bytes.begin(), Reply.bytes.end()), From.str(),
+      [this, Index, From](const std::string &Reason, TimePoint Later) {
+        if (Reason.empty())
+          Swarm_.onChunk(Index, From, Later);
+        else
+          Swarm_.onRefused(Index, From, FetchResult::Bad, Later);
+        pump(Later);
+      });
 }
 
 void WeightSwarm::onLost(const PeerAddress &Address, TimePoint Now) {
@@ -240,8 +244,8 @@
 }
 
 std::string WeightSwarm::failure(TimePoint Now) const {
-  std::string Stuck = Swarm_.stalled(Now);
-  return Stuck.empty() ? Failure_ : Stuck;
+  std::string StallReason = Swarm_.stallReason(Now);
+  return StallReason.empty() ? Failure_ : StallReason;
 }
 
 } // namespace hawthornroad
--- a/tests/integration/AtMostOnceTest.cpp
+++ b/tests/integration/AtMostOnceTest.cpp
@@ -32,7 +32,7 @@
 
 TEST_CASE("invoice, sent and repeated at another entry, runs once and is "
           "answered alike") {
-  auto F = desks(twoZones("1"));
+  auto F = buildPlainFleet(twoZones("1"));
   HttpResponse First = invoice(F->entry(0), "k");
   INFO(First.Body_);
   REQUIRE(outcome(First) == "answered");
@@ -48,16 +48,16 @@
 
 TEST_CASE("invoice, its agent killed during the run, is unknown at once and "
           "runs once") {
-  // The client is billed by the run under way; sent again elsewhere it would
-  // be billed twice. The agent dies, the service goes on, nobody can tell.
-  auto F = desks(twoZones("3000"));
+  // The call in progress bills the client; run again elsewhere it would bill
+  // twice. The agent dies and the service goes on, so the outcome is unknown.
+  auto F = buildPlainFleet(twoZones("3000"));
   auto Answer = invoiceLater(F->entry(0), "k", 20000);
   FleetProcess &Agent = agentThatRuns(*F, "k");
   F->kill(Agent);
   HttpResponse R = Answer.get();
   REQUIRE(outcome(R) == "unknown");
-  requireTruth(*F, "k", R);
-  // Both entries say the same of the key, before and after a replacement.
+  requireConsistentOutcome(*F, "k", R);
+  // Both entries report the same outcome, before and after a replacement.
   eventually([&] { return outcome(invoice(F->entry(1), "k")) == "unknown"; },
              "the claim says unknown");
   F->start(Agent);
@@ -65,28 +65,28 @@
   REQUIRE(runs(*F, "k") == 1);
 }
 
-TEST_CASE("invoice, its agent killed before or after the run, keeps to the "
-          "truth") {
-  auto F = desks(twoZones("1"));
+TEST_CASE("invoice, its agent killed before or after the run, gets "
+          "the true outcome") {
+  auto F = buildPlainFleet(twoZones("1"));
   HttpResponse Before = invoice(F->entry(0), "answered");
   REQUIRE(outcome(Before) == "answered");
   for (FleetProcess &Each : F->agents())
     F->kill(Each);
-  // After: the kept answer stands without any agent.
+  // After the run: the stored answer is served without any agent.
   REQUIRE(invoice(F->entry(1), "answered").Body_ == Before.Body_);
   REQUIRE(runs(*F, "answered") == 1);
-  // Before: nothing can have run, and the refusal says when to come back.
+  // Before the run: nothing can have run, and the refusal has a Retry-After.
   HttpResponse Refused = invoice(F->entry(0), "refused");
   REQUIRE(outcome(Refused) == "not-run");
   REQUIRE(findHeader(Refused.Headers_, "Retry-After").has_value());
-  requireTruth(*F, "refused", Refused);
+  requireConsistentOutcome(*F, "refused", Refused);
 }
 
 TEST_CASE("invoice, its entry killed and the key repeated at another, runs "
           "once") {
-  // The caller's connection breaks in the middle; it repeats the key at
-  // another entry, which cannot see what the dead one had done.
-  auto F = desks(twoZones("1500"));
+  // The caller's connection breaks during the call; it repeats the key at
+  // another entry, which cannot know what the dead one did.
+  auto F = buildPlainFleet(twoZones("1500"));
   auto Lost = invoiceLater(F->entry(0), "k", 3000);
   agentThatRuns(*F, "k");
   F->kill(F->entry(0));
@@ -101,12 +101,12 @@
   REQUIRE(runs(*F, "k") == 1);
 }
 
-TEST_CASE("invoice, its entry frozen before the dispatch and thawed after the "
-          "deadline, is not run by it") {
-  // Entry 0 is paused while its claim is being written. Its caller gives up and
-  // repeats the key elsewhere, long past the deadline entry 0 thaws and finds
-  // that it holds the claim: acting on it would bill a call nobody waits for.
-  auto F = desks(twoZones("1"));
+TEST_CASE("invoice, its entry frozen before the dispatch and "
+          "resumed after the deadline, is not run by it") {
+  // Entry 0 is frozen while its claim is being written. Its caller gives up and
+  // repeats the key elsewhere. Long past the deadline entry 0 resumes and finds
+  // that it holds the claim: a dispatch would bill a call nobody waits for.
+  auto F = buildPlainFleet(twoZones("1"));
   F->table().setFaults(R"({"delay_ms":900})");
   std::int64_t Writes = numberAt(F->table().counters(), "writes");
   auto Frozen = invoiceLater(F->entry(0), "k", 2000);
@@ -129,7 +129,7 @@
   F->entry(0).Process_->resume();
   REQUIRE(outcome(Frozen.get()) == "not-run");
   REQUIRE(runs(*F, "k") == 0);
-  // The thawed entry frees the key.
+  // The resumed entry releases the key.
   eventually([&] { return outcome(invoice(F->entry(1), "k")) == "answered"; },
              "the key is free again");
   REQUIRE(runs(*F, "k") == 1);
@@ -137,7 +137,7 @@
 
 TEST_CASE("invoice, the table's answer to its claim lost, is answered and runs "
           "once") {
-  auto F = desks(twoZones("1"));
+  auto F = buildPlainFleet(twoZones("1"));
   F->table().setFaults(R"({"lose_answers":2})");
   HttpResponse R = invoice(F->entry(0), "k");
   INFO(R.Body_);
@@ -150,7 +150,7 @@
 TEST_CASE("invoice, with the table out, is refused at once and runs once "
           "afterwards") {
   auto Fault = GENERATE(R"({"down":true})", R"({"silent":true})");
-  auto F = desks(twoZones("1"));
+  auto F = buildPlainFleet(twoZones("1"));
   F->table().setFaults(Fault);
   for (int I = 0; I < 6; ++I) {
     HttpResponse R = invoice(F->entry(0), "k");
@@ -158,7 +158,7 @@
     REQUIRE(outcome(R) == "not-run");
     REQUIRE(findHeader(R.Headers_, "Retry-After").has_value());
   }
-  // Calls that need no claim go on.
+  // Calls that need no claim are still served.
   REQUIRE(outcome(invoice(F->entry(0), "")) == "answered");
   F->table().setFaults("{}");
   HttpResponse Last;
@@ -172,7 +172,7 @@
 }
 
 TEST_CASE("invoices, of one key at two entries at the same moment, run once") {
-  auto F = desks(twoZones("20"));
+  auto F = buildPlainFleet(twoZones("20"));
   for (int I = 0; I < 20; ++I) {
     std::string Key = "k" + std::to_string(I);
     auto One = invoiceLater(F->entry(0), Key);
@@ -185,12 +185,13 @@
   }
 }
 
-TEST_CASE("invoice, its connection cut at any frame, keeps to the truth") {
-  // A link breaks between two frames, in either direction, the call perhaps
-  // just run. The counters say what happened, and no answer may contradict.
+TEST_CASE("invoice, its connection cut at any frame, gets the true "
+          "outcome") {
+  // The connection breaks between two frames, in either direction; the call may
+  // just have run. No answer may contradict the counters of the service.
   auto Direction = GENERATE(as<std::string>{}, "up", "down");
-  auto F = desks(twoZones("5").withProxies());
-  std::map<std::string, int> Said;
+  auto F = buildPlainFleet(twoZones("5").withProxies());
+  std::map<std::string, int> Outcomes;
   for (int Frames = 1; Frames <= 6; ++Frames) {
     for (FleetProcess &Each : F->agents())
       Each.PeerProxy_->setFaults(R"({"reset":true,"cut_after_frames":)"
@@ -201,10 +202,11 @@
     HttpResponse R = invoice(F->entry(0), Key, 5000);
     for (FleetProcess &Each : F->agents())
       Each.PeerProxy_->setFaults("{}");
-    requireTruth(*F, Key, R);
-    ++Said[outcome(R)];
+    requireConsistentOutcome(*F, Key, R);
+    ++Outcomes[outcome(R)];
     CHECK_FALSE(outcome(R).empty());
   }
-  WARN("cut " << Direction << ": answered " << Said["answered"] << ", not-run "
-              << Said["not-run"] << ", unknown " << Said["unknown"]);
+  WARN("cut " << Direction << ": answered " << Outcomes["answered"]
+              << ", not-run " << Outcomes["not-run"] << ", unknown "
+              << Outcomes["unknown"]);
 }
--- a/tests/integration/EntryDrainTest.cpp
+++ b/tests/integration/EntryDrainTest.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 std::unique_ptr<Fleet> slowDesk() {
-  return desks(FleetBuilder()
-                   .modelVms(0)
-                   .plainVms(1)
-                   .serviceOptions({"--work-ms", "1500"})
-                   .entrySettings({{"drain_grace_ms", 300}}));
+  return buildPlainFleet(FleetBuilder()
+                             .modelVms(0)
+                             .plainVms(1)
+                             .serviceOptions({"--work-ms", "1500"})
+                             .entrySettings({{"drain_grace_ms", 300}}));
 }
 } // namespace
 
 TEST_CASE(
     "entry, stopped as planned, answers what is in progress and ends with "
     "code 0") {
-  // An entry VM is replaced while a client's invoice is being written: cut off
-  // here, the client would not know whether it was billed.
+  // An entry VM is replaced while a call that bills a client is in progress:
+  // cut off, the client would not know whether it was billed.
   auto F = slowDesk();
   auto Keyed = invoiceLater(F->entry(0), "k");
   auto Plain = invoiceLater(F->entry(0), "");
